--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -7,6 +7,8 @@
 //!     SOAK_SEEDS=1..50 SOAK_SECONDS=20 cargo test --release --test soak -- --ignored --nocapture
 #![allow(missing_docs, clippy::unwrap_used)]
 
+#[path = "../other_build/mod.rs"]
+mod other_build;
 #[path = "../own_loopback/mod.rs"]
 mod own_loopback;
 
--- a/tests/soak/process.rs
+++ b/tests/soak/process.rs
@@ -44,7 +44,7 @@
         }
         let log = File::create(self.log_file(self.starts)).unwrap();
         self.write_settings();
-        let child = Command::new(env!("CARGO_BIN_EXE_rosemarygauge"))
+        let child = Command::new(crate::other_build::program())
             .args(["platform", self.role])
             .env("ROSEMARYGAUGE_CONFIG", self.settings_file())
             .stdin(Stdio::null())
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -3,6 +3,8 @@
 #![allow(dead_code, unused_imports, missing_docs, clippy::unwrap_used)]
 
 mod fake_entry;
+#[path = "../other_build/mod.rs"]
+mod other_build;
 mod process;
 mod system;
 mod upstreams;
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -77,7 +77,11 @@
 
 /// The binary with its arguments.
 pub fn command(args: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_rosemarygauge"));
+    let program = match args.first() {
+        Some(&"serve") => super::other_build::program(),
+        _ => env!("CARGO_BIN_EXE_rosemarygauge").into(),
+    };
+    let mut command = Command::new(program);
     command.args(args).stdin(Stdio::null());
     command
 }
