--- a/src/consensus/action.rs
+++ b/src/consensus/action.rs
@@ -2,37 +2,40 @@
 
 use super::{Entry, Message, Record};
 
-/// What a replica wants done, in this order.
+/// Work that a replica asks its driver to do. Actions are carried out in the order
+/// in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message to a peer; it may be lost, delayed or doubled.
+    /// Send a message to a peer. It may be lost, delayed or duplicated.
     Send {
-        /// The peer.
+        /// The receiving peer.
         to: EntryName,
-        /// What to send.
+        /// The message to send.
         message: Message,
     },
-    /// Write the records to the data folder in order, sync it, then hand in
-    /// [`super::Input::Persisted`]. At most one is under way at a time; what comes
-    /// up meanwhile goes into the next, so that many changes share one sync.
+    /// Write the records to the data folder in order, sync it, then pass
+    /// [`super::Input::Persisted`] to the replica. At most one write is in flight at
+    /// a time; records that arrive meanwhile are batched into the next one, so that
+    /// many changes share one sync.
     Persist {
-        /// Names this write; counts up.
+        /// Identifies this write; increases by one with each write.
         token: u64,
-        /// What to write.
+        /// The records to write.
         records: Vec<Record>,
     },
     /// Apply committed entries to the state, in order.
     Apply {
-        /// The entries.
+        /// The committed entries.
         entries: Vec<Entry>,
     },
-    /// Replace the state by a snapshot.
+    /// Replace the state with a snapshot.
     Restore {
-        /// The last applied index in it.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
-        /// The state's bytes.
+        /// The encoded state.
         data: Vec<u8>,
     },
-    /// Hand in the state's bytes as [`super::Input::SnapshotTaken`].
+    /// Encode the state and pass it to the replica as
+    /// [`super::Input::SnapshotTaken`].
     TakeSnapshot,
 }
--- a/src/consensus/founding.rs
+++ b/src/consensus/bootstrap.rs
@@ -1,11 +1,11 @@
-//! How a cluster is created: by all of its first voters, while all are empty.
+//! Cluster creation, which requires all initial voters to be empty.
 //!
-//! A voter that lost its disk looks like one that is new. If a quorum of empty
-//! folders could create a cluster, two lost disks of three would start an empty
-//! one over the state of the third, and every accepted row would be gone. So the
-//! first of the voters by name, the founder, needs an answer from each of the
-//! others that it holds nothing and never voted, and only then writes the first
-//! membership, with everybody's incarnation, as the log's first entry.
+//! A voter that lost its disk is indistinguishable from a new one. If a quorum of empty
+//! data folders could create a cluster, losing two disks of three would create an empty
+//! cluster, and every accepted row on the third would be lost. So the founder, which is
+//! the first voter by name, waits until every other voter has replied that it has no
+//! log and never voted. Only then does it write the first membership, with the
+//! incarnation of each voter, as the first entry of the log.
 
 use std::collections::BTreeMap;
 
@@ -13,26 +13,28 @@
 
 use super::{Entry, Membership, Message, Record, Replica};
 
-/// What the founder has heard.
+/// State of the founder while it creates the cluster.
 #[derive(Debug, Default)]
-pub(super) struct Founding {
-    empty: BTreeMap<EntryName, u64>,
-    asked_ms: Option<u64>,
+pub(super) struct Bootstrap {
+    /// Voters that replied that they are empty, with their incarnations.
+    empty_voters: BTreeMap<EntryName, u64>,
+    last_asked_ms: Option<u64>,
 }
 
 impl Replica {
-    /// Asks the other first voters, if it is the founder.
-    pub(super) fn found(&mut self, now_ms: u64) {
+    /// On the founder: asks the other initial voters, once per heartbeat interval,
+    /// whether they are empty.
+    pub(super) fn tick_bootstrap(&mut self, now_ms: u64) {
         let heartbeat_ms = self.settings.heartbeat_ms;
         let due = self
-            .founding
-            .asked_ms
+            .bootstrap
+            .last_asked_ms
             .is_none_or(|at| now_ms >= at + heartbeat_ms);
         let Some(founder) = self.incarnation.filter(|_| due && self.is_founder()) else {
             return;
         };
-        self.founding.asked_ms = Some(now_ms);
-        self.write_first_membership(now_ms, founder);
+        self.bootstrap.last_asked_ms = Some(now_ms);
+        self.create_cluster_if_all_empty(now_ms, founder);
         for to in self.settings.voters.clone() {
             if to != self.settings.me {
                 self.send(to, Message::Found { founder });
@@ -40,19 +42,19 @@
         }
     }
 
-    pub(super) fn asked_by_founder(&mut self, from: EntryName, founder: u64) {
+    pub(super) fn handle_found(&mut self, from: EntryName, founder: u64) {
         let Some(incarnation) = self.incarnation else {
             return;
         };
         let message = Message::FoundReply {
             founder,
             incarnation,
-            empty: self.is_empty(),
+            empty: self.has_no_history(),
         };
         self.send(from, message);
     }
 
-    pub(super) fn founder_answered(
+    pub(super) fn handle_found_reply(
         &mut self,
         now_ms: u64,
         from: EntryName,
@@ -64,15 +66,15 @@
             return;
         }
         if empty {
-            self.founding.empty.insert(from, incarnation);
+            self.bootstrap.empty_voters.insert(from, incarnation);
         } else {
-            self.founding.empty.remove(&from);
+            self.bootstrap.empty_voters.remove(&from);
         }
-        self.write_first_membership(now_ms, founder);
+        self.create_cluster_if_all_empty(now_ms, founder);
     }
 
-    fn write_first_membership(&mut self, now_ms: u64, founder: u64) {
-        let mut voters = self.founding.empty.clone();
+    fn create_cluster_if_all_empty(&mut self, now_ms: u64, founder: u64) {
+        let mut voters = self.bootstrap.empty_voters.clone();
         voters.insert(self.settings.me.clone(), founder);
         if !self.settings.voters.iter().all(|v| voters.contains_key(v)) {
             return;
@@ -90,11 +92,11 @@
     }
 
     fn is_founder(&self) -> bool {
-        self.settings.voters.iter().min() == Some(&self.settings.me) && self.is_empty()
+        self.settings.voters.iter().min() == Some(&self.settings.me) && self.has_no_history()
     }
 
-    /// Whether it never voted and holds nothing.
-    fn is_empty(&self) -> bool {
+    /// Returns whether this replica never voted and has an empty log.
+    fn has_no_history(&self) -> bool {
         self.hard.term == 0 && self.log.last_index() == 0
     }
 }
--- a/src/consensus/election.rs
+++ b/src/consensus/election.rs
@@ -1,53 +1,55 @@
-//! How a leader is elected.
+//! Leader election with pre-votes.
 //!
-//! A voter that hears no leader first asks whether it would be elected
-//! (pre-vote), which changes nothing anywhere, and only then enters the next term
-//! and asks for votes that bind. A voter refuses both while it hears a leader.
+//! A voter that has not heard from a leader for an election timeout first runs a
+//! pre-vote round, which changes no state on any voter. Only if a quorum grants it
+//! does the candidate enter the next term and request binding votes. A voter refuses
+//! both kinds of request while it hears from a leader.
 
 use std::collections::BTreeSet;
 
 use crate::model::EntryName;
 
-use super::journal::Waiting;
-use super::replica::Part;
+use super::journal::Deferred;
+use super::replica::RoleState;
 use super::{Message, Record, Replica, VoteRequest};
 
 impl Replica {
     pub(super) fn tick_election(&mut self, now_ms: u64) {
-        if now_ms < self.election_ms || self.hears_leader(now_ms) {
+        if now_ms < self.election_due_ms || self.has_recent_leader(now_ms) {
             return;
         }
-        if self.may_stand() {
+        if self.can_campaign() {
             self.campaign(now_ms, true);
         } else {
-            self.rest(now_ms);
+            self.reset_election_timer(now_ms);
         }
     }
 
-    /// Whether it may be elected: it is a voter, or its removal is not committed.
+    /// Returns whether this replica may campaign: it is a voter, or its removal is not
+    /// committed yet.
     ///
-    /// The one that is being removed may be the only one that holds the removal and what
-    /// came before it. With another voter's disk lost the others need it to go on.
-    fn may_stand(&self) -> bool {
+    /// A voter that is being removed may be the only one whose log has the removal and
+    /// the entries before it. If another voter has lost its disk, no quorum can elect
+    /// a leader without it.
+    fn can_campaign(&self) -> bool {
         let committed = self.log.membership_at(self.commit_index);
         self.is_voter() || committed.counts(&self.settings.me, self.incarnation)
     }
 
-    /// Asks all other voters for their votes, or with `pre` whether they would
-    /// give them.
+    /// Requests votes from all other voters; with `pre`, runs a pre-vote round.
     ///
-    /// Without the question first, a voter cut off alone counts terms up and on
-    /// its return deposes the healthy leader with its higher term: callers see
-    /// changes stall for an election although nothing was wrong. It can't win the
-    /// question while the others hear a leader, so its term stays.
+    /// Without pre-votes, an isolated voter keeps incrementing its term and deposes a
+    /// healthy leader with the higher term when it reconnects, so callers see changes
+    /// stall for an election. It cannot win a pre-vote while the other voters hear from
+    /// a leader, so its term does not change.
     pub(super) fn campaign(&mut self, now_ms: u64, pre: bool) {
         if !pre {
             self.enter_term(now_ms, self.hard.term.saturating_add(1));
             self.hard.voted_for = Some(self.settings.me.clone());
             self.journal.write(Record::Hard(self.hard.clone()));
         }
-        self.rest(now_ms);
-        self.part = Part::Candidate {
+        self.reset_election_timer(now_ms);
+        self.role_state = RoleState::Candidate {
             pre,
             granted: BTreeSet::new(),
             refused: BTreeSet::new(),
@@ -63,36 +65,41 @@
                 last_term,
                 counted_as,
             });
-            // Only after the sync: a candidate that forgets its term in a crash
-            // could win it twice, with another log the second time.
+            // Sent after the sync: a candidate that loses its term in a crash could
+            // win the same term twice, the second time with a different log.
             self.send_after_sync(now_ms, name.clone(), message);
         }
         match pre {
             true if self.is_voter() => {
-                self.favoured_by(now_ms, self.settings.me.clone(), term);
+                self.count_pre_vote(now_ms, self.settings.me.clone(), term);
             }
             true => {}
-            false => self.after_sync(now_ms, Waiting::OwnVote { term }),
+            false => self.after_sync(now_ms, Deferred::OwnVote { term }),
         }
     }
 
-    /// The own vote is synced and counts.
-    pub(super) fn own_vote(&mut self, now_ms: u64, term: u64) {
+    /// Counts the candidate's vote for itself once that vote is synced.
+    pub(super) fn count_own_vote(&mut self, now_ms: u64, term: u64) {
         if self.is_voter() {
-            self.elected_by(now_ms, self.settings.me.clone(), term);
+            self.count_vote(now_ms, self.settings.me.clone(), term);
         }
     }
 
-    pub(super) fn asked_for_vote(&mut self, now_ms: u64, from: EntryName, request: &VoteRequest) {
-        // A folder that is not the one counted must not answer for it: it does
-        // not know what the counted one acknowledged or voted.
+    pub(super) fn handle_vote_request(
+        &mut self,
+        now_ms: u64,
+        from: EntryName,
+        request: &VoteRequest,
+    ) {
+        // A data folder with another incarnation than the membership lists must not
+        // answer: it does not know what the listed one acknowledged or voted.
         if self.incarnation != Some(request.counted_as) {
             return;
         }
-        let granted = self.may_vote(now_ms, &from, request)
-            && (!request.pre || self.favours(now_ms, &from, request));
+        let granted = self.can_grant_vote(now_ms, &from, request)
+            && (!request.pre || self.grants_pre_vote(now_ms, &from, request));
         if granted && !request.pre {
-            self.give_vote(now_ms, &from, request.term);
+            self.record_vote(now_ms, &from, request.term);
         }
         let message = Message::VoteReply {
             term: if granted {
@@ -107,69 +114,73 @@
         self.send_after_sync(now_ms, from, message);
     }
 
-    fn may_vote(&self, now_ms: u64, from: &EntryName, request: &VoteRequest) -> bool {
-        let free = request.term > self.hard.term
+    fn can_grant_vote(&self, now_ms: u64, from: &EntryName, request: &VoteRequest) -> bool {
+        let vote_available = request.term > self.hard.term
             || request.term == self.hard.term
                 && self.hard.voted_for.as_ref().is_none_or(|v| v == from);
         let ours = (self.log.last_term(), self.log.last_index());
-        let complete = (request.last_term, request.last_index) >= ours;
-        free && complete && !self.bound_to_leader(now_ms)
+        let log_up_to_date = (request.last_term, request.last_index) >= ours;
+        vote_available && log_up_to_date && !self.is_bound_to_leader(now_ms)
     }
 
-    /// Whether it tells this candidate that it would elect it.
+    /// Returns whether to grant a pre-vote to this candidate, and remembers the grant.
     ///
-    /// Candidates that ask at the same time would all be encouraged, split the votes and
-    /// wait for another timeout. So one of them is favoured for a while, and of two
-    /// candidates that ask each other one steps back. It costs no safety: nobody is bound
-    /// by this answer, and who was refused asks again soon.
+    /// If every simultaneous candidate got a pre-vote, they would split the votes and
+    /// wait for another timeout. So a voter grants pre-votes to one candidate only for
+    /// [`Self::pre_vote_hold_ms`], and of two candidates that ask each other one steps
+    /// back. Safety does not depend on this: a pre-vote binds nobody, and a refused
+    /// candidate soon asks again.
     ///
-    /// A candidate whose log reaches further goes first: the other one cannot win its vote.
-    fn favours(&mut self, now_ms: u64, from: &EntryName, request: &VoteRequest) -> bool {
-        let asks_itself = matches!(self.part, Part::Candidate { pre: true, .. });
-        let other = match &self.favoured {
-            Some((name, at_ms)) => name != from && now_ms < at_ms + self.favour_ms(),
+    /// The candidate with the more complete log takes precedence, because the other one
+    /// cannot win its vote.
+    fn grants_pre_vote(&mut self, now_ms: u64, from: &EntryName, request: &VoteRequest) -> bool {
+        let is_pre_candidate = matches!(self.role_state, RoleState::Candidate { pre: true, .. });
+        let granted_to_other = match &self.last_pre_vote {
+            Some((name, at_ms)) => name != from && now_ms < at_ms + self.pre_vote_hold_ms(),
             None => false,
         };
         let ours = (self.log.last_term(), self.log.last_index());
-        let reaches_further = (request.last_term, request.last_index) > ours;
-        let favours = match asks_itself {
-            true => reaches_further || *from < self.settings.me,
-            false => !other,
+        let is_more_complete = (request.last_term, request.last_index) > ours;
+        let grants = match is_pre_candidate {
+            true => is_more_complete || *from < self.settings.me,
+            false => !granted_to_other,
         };
-        if favours {
-            if asks_itself {
+        if grants {
+            if is_pre_candidate {
                 self.become_follower(now_ms);
             }
-            self.favoured = Some((from.clone(), now_ms));
+            self.last_pre_vote = Some((from.clone(), now_ms));
         }
-        favours
+        grants
     }
 
-    /// How long a candidate is favoured: some round trips.
-    fn favour_ms(&self) -> u64 {
+    /// How long a pre-vote keeps others from getting one, in milliseconds: several
+    /// round trips.
+    fn pre_vote_hold_ms(&self) -> u64 {
         self.settings.election_timeout_ms / 4
     }
 
-    /// Whether it may still be the one that keeps a leader in office.
+    /// Returns whether a leader may still rely on this voter not to elect another one.
     ///
-    /// A leader holds that no other can be elected until a quorum has not heard
-    /// it for an election timeout, and grants view leases on that. A voter that
-    /// restarted has forgotten whether it heard one, so it waits as long.
-    fn bound_to_leader(&self, now_ms: u64) -> bool {
+    /// A leader assumes that no other leader can be elected until a quorum has not heard
+    /// from it for an election timeout, and grants view leases on that assumption. A
+    /// restarted voter does not know when it last heard from a leader, so it grants no
+    /// vote for an election timeout.
+    fn is_bound_to_leader(&self, now_ms: u64) -> bool {
         let restarted = now_ms < self.started_ms + self.settings.election_timeout_ms;
-        self.leads() || self.hears_leader(now_ms) || restarted
+        self.is_leader() || self.has_recent_leader(now_ms) || restarted
     }
 
-    fn give_vote(&mut self, now_ms: u64, to: &EntryName, term: u64) {
+    fn record_vote(&mut self, now_ms: u64, to: &EntryName, term: u64) {
         if term > self.hard.term {
             self.enter_term(now_ms, term);
         }
         self.hard.voted_for = Some(to.clone());
         self.journal.write(Record::Hard(self.hard.clone()));
-        self.rest(now_ms);
+        self.reset_election_timer(now_ms);
     }
 
-    pub(super) fn vote_answered(
+    pub(super) fn handle_vote_reply(
         &mut self,
         now_ms: u64,
         from: EntryName,
@@ -184,16 +195,16 @@
         let counts = self.log.membership().counts(&from, Some(incarnation));
         match (granted, pre) {
             _ if !counts => {}
-            (true, true) => self.favoured_by(now_ms, from, term),
-            (true, false) => self.elected_by(now_ms, from, term),
-            (false, _) => self.refused_by(now_ms, from, pre),
+            (true, true) => self.count_pre_vote(now_ms, from, term),
+            (true, false) => self.count_vote(now_ms, from, term),
+            (false, _) => self.count_refusal(now_ms, from, pre),
         }
     }
 
-    fn favoured_by(&mut self, now_ms: u64, from: EntryName, term: u64) {
-        let Part::Candidate {
+    fn count_pre_vote(&mut self, now_ms: u64, from: EntryName, term: u64) {
+        let RoleState::Candidate {
             pre: true, granted, ..
-        } = &mut self.part
+        } = &mut self.role_state
         else {
             return;
         };
@@ -206,15 +217,15 @@
         }
     }
 
-    /// Counts a vote that binds.
+    /// Counts a binding vote and becomes leader once a quorum has voted.
     ///
-    /// Votes count for as long as the term lasts, also when they come after this replica
-    /// has begun to ask again: on machines that are starved they take longer than a
-    /// timeout, and to throw them away would begin each round anew. One that has led in the
-    /// term and stepped down does not lead in it again.
-    fn elected_by(&mut self, now_ms: u64, from: EntryName, term: u64) {
-        let stands = self.hard.voted_for.as_ref() == Some(&self.settings.me);
-        if term != self.hard.term || !stands || self.led_term == Some(term) {
+    /// Votes count for as long as the term lasts, even if they arrive after this replica
+    /// has started another pre-vote round: on overloaded machines they take longer than
+    /// a timeout, and discarding them would restart every round. A replica that has led
+    /// in the term and stepped down does not lead in it again.
+    fn count_vote(&mut self, now_ms: u64, from: EntryName, term: u64) {
+        let is_candidate = self.hard.voted_for.as_ref() == Some(&self.settings.me);
+        if term != self.hard.term || !is_candidate || self.last_led_term == Some(term) {
             return;
         }
         self.votes.insert(from);
@@ -223,24 +234,24 @@
         }
     }
 
-    /// Asks again soon, once the round cannot be won any more.
-    fn refused_by(&mut self, now_ms: u64, from: EntryName, pre: bool) {
-        let Part::Candidate {
-            pre: asked,
+    /// Counts a refusal; retries early once the round can no longer be won.
+    fn count_refusal(&mut self, now_ms: u64, from: EntryName, pre: bool) {
+        let RoleState::Candidate {
+            pre: pre_round,
             refused,
             ..
-        } = &mut self.part
+        } = &mut self.role_state
         else {
             return;
         };
-        if *asked != pre {
+        if *pre_round != pre {
             return;
         }
         refused.insert(from);
         let voters = self.log.membership();
-        let still_possible = voters.len().saturating_sub(refused.len());
-        if still_possible < voters.quorum() {
-            self.rest_briefly(now_ms);
+        let possible_votes = voters.len().saturating_sub(refused.len());
+        if possible_votes < voters.quorum() {
+            self.shorten_election_timer(now_ms);
         }
     }
 }
--- a/src/consensus/entry.rs
+++ b/src/consensus/entry.rs
@@ -2,26 +2,25 @@
 
 use super::Membership;
 
-/// One place in the log.
+/// One entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place, from 1.
+    /// Position in the log, counted from 1.
     pub index: u64,
-    /// The term of the leader that proposed it.
+    /// Term of the leader that appended it.
     pub term: u64,
-    /// The command; empty for the replica's own entries.
+    /// The encoded command; empty for entries that the leader itself adds.
     pub command: Vec<u8>,
-    /// The voters from this entry on, if it changes them. Such an entry counts
-    /// from the moment it is in the log, committed or not.
+    /// The new membership, if this entry changes it. It is in force as soon as the
+    /// entry is in the log, committed or not.
     pub membership: Option<Membership>,
 }
 
 impl Entry {
-    /// Bytes it takes on the wire beside its command, at most, while it changes
-    /// no voters.
+    /// Upper bound on the encoded size of an entry beyond its command and membership.
     pub const OVERHEAD_BYTES: usize = 32;
 
-    /// Its size for the bounds on batches, in bytes.
+    /// Upper bound on the encoded size, in bytes, by which batches are limited.
     pub fn size_bytes(&self) -> usize {
         let voters = self.membership.as_ref().map_or(0, Membership::size_bytes);
         self.command.len() + voters + Self::OVERHEAD_BYTES
--- a/src/consensus/following.rs
+++ b/src/consensus/follower.rs
@@ -1,43 +1,50 @@
-//! What a replica does with its leader's entries.
+//! The follower's side of log replication: accepting a leader, matching and appending
+//! its entries, and replying to it.
 
 use crate::model::EntryName;
 
-use super::{Beat, Entry, Message, Record, Replica, Reply, ReplyOutcome, Stamp};
+use super::{Entry, Heartbeat, Message, Record, Replica, Reply, ReplyOutcome, Stamp};
 
 use rand::Rng;
 
 impl Replica {
-    pub(super) fn append(
+    pub(super) fn handle_append(
         &mut self,
         now_ms: u64,
         from: EntryName,
-        beat: &Beat,
+        beat: &Heartbeat,
         prev: (u64, u64),
         entries: Vec<Entry>,
     ) {
         if !self.accept_leader(now_ms, &from, beat) {
             return;
         }
-        let outcome = match self.match_entries(prev, entries) {
+        let outcome = match self.append_entries(prev, entries) {
             Some(index) => {
-                self.follow_commit(now_ms, beat, index);
+                self.advance_follower_commit(now_ms, beat, index);
                 ReplyOutcome::Matched { index }
             }
             None => ReplyOutcome::Conflict {
-                index: self.log.before_conflict(prev.0).max(self.commit_index),
+                index: self.log.last_possible_match(prev.0).max(self.commit_index),
             },
         };
         self.reply(now_ms, from, beat, outcome);
     }
 
-    /// Takes the sender for its leader, unless its term is over.
-    pub(super) fn accept_leader(&mut self, now_ms: u64, from: &EntryName, beat: &Beat) -> bool {
+    /// Accepts the sender as leader and returns whether it did. A sender with an older
+    /// term, or one that has resigned, is refused.
+    pub(super) fn accept_leader(
+        &mut self,
+        now_ms: u64,
+        from: &EntryName,
+        beat: &Heartbeat,
+    ) -> bool {
         if beat.term < self.hard.term {
             self.reply(now_ms, from.clone(), beat, ReplyOutcome::Stale);
             return false;
         }
-        // What the leader sent before it resigned comes late: taken for a sign of
-        // life it would bind this vote for another election timeout.
+        // A message that the leader sent before it resigned. Treated as a heartbeat,
+        // it would withhold this replica's vote for another election timeout.
         if self.resigned_term == Some(beat.term) {
             return false;
         }
@@ -46,19 +53,20 @@
         }
         self.become_follower(now_ms);
         self.leader = Some(from.clone());
-        self.heard_ms = Some(now_ms);
-        self.check_acked(beat);
+        self.leader_heard_ms = Some(now_ms);
+        self.check_acknowledged(beat);
         true
     }
 
-    /// Gives up its identity if its folder holds less than it acknowledged.
+    /// Takes a new incarnation if the log is shorter than what this data folder has
+    /// acknowledged.
     ///
-    /// A folder put back from a copy, or one whose disk lied about a sync, lacks
-    /// entries that were committed by its word; with its vote a leader without
-    /// them could be elected. The leader tells each voter what it acknowledged;
-    /// one that holds less takes a new incarnation, which counts for nothing
-    /// until the leader has caught it up and changed the membership.
-    fn check_acked(&mut self, beat: &Beat) {
+    /// A folder that was restored from a copy, or whose disk reported a sync that did
+    /// not happen, lacks entries that were committed on its acknowledgement; with its
+    /// vote, a leader without them could be elected. The leader tells each voter what
+    /// it has acknowledged. The new incarnation has no vote until the leader has caught
+    /// the replica up and changed the membership.
+    fn check_acknowledged(&mut self, beat: &Heartbeat) {
         let Some(acked) = beat.acked else {
             return;
         };
@@ -69,9 +77,9 @@
         }
     }
 
-    /// Takes the entries in if the log equals the leader's before them; returns
-    /// the last index up to which it then does.
-    fn match_entries(&mut self, prev: (u64, u64), entries: Vec<Entry>) -> Option<u64> {
+    /// Appends the entries if the log matches the leader's up to `prev`. Returns the
+    /// last index up to which the logs match afterwards, or `None` on a conflict.
+    fn append_entries(&mut self, prev: (u64, u64), entries: Vec<Entry>) -> Option<u64> {
         let (prev_index, prev_term) = prev;
         let base = self.log.base_index();
         if prev_index >= base && self.log.term_at(prev_index) != Some(prev_term) {
@@ -83,7 +91,7 @@
                 return None;
             }
             last = entry.index;
-            // What is compacted is committed and so the same everywhere.
+            // Compacted entries are committed and therefore identical on all replicas.
             if entry.index <= base || self.log.term_at(entry.index) == Some(entry.term) {
                 continue;
             }
@@ -96,24 +104,30 @@
         Some(last.max(base))
     }
 
-    fn follow_commit(&mut self, now_ms: u64, beat: &Beat, matched: u64) {
+    fn advance_follower_commit(&mut self, now_ms: u64, beat: &Heartbeat, matched: u64) {
         self.commit_index = self.commit_index.max(beat.commit_index.min(matched));
         self.apply();
-        // The view counts as confirmed only if it holds all that was committed
-        // when the leader sent this.
-        let heard = beat.heard.filter(|h| h.start == self.start);
+        // The view lease is renewed only if the log has every entry that was committed
+        // when the leader sent this message.
+        let heard = beat.heard.filter(|h| h.start == self.start_id);
         if let Some(stamp) = heard.filter(|_| beat.commit_index <= matched) {
-            self.confirmed_ms = self.confirmed_ms.max(Some(stamp.at_ms.min(now_ms)));
+            self.view_confirmed_ms = self.view_confirmed_ms.max(Some(stamp.at_ms.min(now_ms)));
         }
     }
 
-    /// Answers the leader, once what the answer tells is durable.
-    pub(super) fn reply(&mut self, now_ms: u64, to: EntryName, beat: &Beat, outcome: ReplyOutcome) {
+    /// Replies to the leader once everything that the reply acknowledges is durable.
+    pub(super) fn reply(
+        &mut self,
+        now_ms: u64,
+        to: EntryName,
+        beat: &Heartbeat,
+        outcome: ReplyOutcome,
+    ) {
         let reply = Reply {
             term: self.hard.term,
             echo_ms: beat.sent_ms,
             stamp: Stamp {
-                start: self.start,
+                start: self.start_id,
                 at_ms: now_ms,
             },
             incarnation: self.incarnation,
--- a/src/consensus/input.rs
+++ b/src/consensus/input.rs
@@ -2,50 +2,51 @@
 
 use super::{Message, VoterChange};
 
-/// Everything that can happen to a replica.
+/// An event that the driver passes to a replica.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time passed. Due at least a few times per heartbeat.
+    /// Timer tick. Required at least a few times per heartbeat interval.
     Tick,
-    /// A peer sent a message.
+    /// A message arrived from a peer.
     Message {
-        /// The peer.
+        /// The sending peer.
         from: EntryName,
-        /// What it sent.
+        /// The message.
         message: Message,
     },
-    /// This process wants the command in the log. A replica that does not lead
-    /// forwards it. There is no answer: the proposer watches what is applied and
-    /// proposes again after a timeout; the state tells repeated commands apart.
-    /// A command above [`super::COMMAND_LIMIT_BYTES`] or an empty one is dropped.
+    /// Proposes a command of this process for the log. A replica that is not the
+    /// leader forwards it. The outcome is not reported: the proposer watches what is
+    /// applied and proposes again after a timeout, and the state detects duplicates.
+    /// An empty command or one above [`super::COMMAND_LIMIT_BYTES`] is dropped.
     Propose {
-        /// The command's bytes.
+        /// The encoded command.
         command: Vec<u8>,
     },
-    /// An operator wants the voters changed. Not answered either: the change is
-    /// done when [`super::Status::voters`] shows it.
+    /// Requests a change of the voters on behalf of an operator. The outcome is not
+    /// reported: the change is done when [`super::Status::voters`] shows it.
     ChangeVoters {
-        /// The change.
+        /// The requested change.
         change: VoterChange,
     },
-    /// There is another instance that may vote or follow.
+    /// Announces another entry instance, which becomes a peer.
     Meet {
-        /// Its name.
+        /// Name of the peer.
         name: EntryName,
     },
-    /// Give up the lead before a planned stop; nothing on one that does not lead.
+    /// Gives up leadership before a planned stop. Has no effect on other replicas than
+    /// the leader.
     Resign,
-    /// The disk finished the write with this token, synced.
+    /// The write with this token is synced to disk.
     Persisted {
-        /// From [`super::Action::Persist`].
+        /// Token of the [`super::Action::Persist`].
         token: u64,
     },
-    /// The state's snapshot up to and with `index`, asked for by
-    /// [`super::Action::TakeSnapshot`].
+    /// The snapshot requested by [`super::Action::TakeSnapshot`], covering all entries up
+    /// to and including `index`.
     SnapshotTaken {
-        /// The last applied index in it.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
-        /// The state's bytes.
+        /// The encoded state.
         data: Vec<u8>,
     },
 }
--- a/src/consensus/journal.rs
+++ b/src/consensus/journal.rs
@@ -2,33 +2,35 @@
 
 use super::{Action, Record};
 
-/// What waits for a write to be synced.
+/// Work held back until a write is synced.
 #[derive(Debug)]
-pub(super) enum Waiting {
-    /// An action that tells others of what is being written.
-    Act(Action),
-    /// The candidate's own vote in this term.
+pub(super) enum Deferred {
+    /// An action that reveals to peers what is being written.
+    Action(Action),
+    /// Counting the candidate's vote for itself in this term.
     OwnVote { term: u64 },
 }
 
-/// The way to the disk: collects records, keeps one write under way, and holds
-/// back what must not be said before it is durable.
+/// The write queue to the disk: batches records, keeps one write in flight, and holds
+/// back everything that must not leave the replica before it is durable.
 ///
-/// An answer sent before the sync is a promise that a crash takes back: the voter
-/// forgets its vote or its acknowledgement, two leaders share a term or a
-/// committed entry vanishes, and an accepted row reverts. Everything that depends
-/// on a record goes through [`Journal::after_sync`].
+/// If an answer were sent before the sync, a crash could lose the vote or the
+/// acknowledgement behind it: two leaders could share a term, or a committed entry
+/// could vanish and an accepted row revert. Everything that depends on a record
+/// therefore goes through [`Journal::after_sync`].
 #[derive(Debug)]
 pub(super) struct Journal {
-    /// Without a data folder nothing is written and nothing waits.
+    /// Without a data folder nothing is written and nothing is held back.
     diskless: bool,
-    collecting: Vec<Record>,
-    /// The token of the write that is being collected.
+    /// Records for the next write.
+    pending: Vec<Record>,
+    /// Token of the next write.
     next_token: u64,
-    under_way: Option<u64>,
-    waiting: VecDeque<(u64, Waiting)>,
-    /// The log's last index once the write with the token is synced.
-    reaches: VecDeque<(u64, u64)>,
+    in_flight_token: Option<u64>,
+    /// Held-back work, with the token of the write that it waits for.
+    deferred: VecDeque<(u64, Deferred)>,
+    /// Token of a write, with the last index of the log once that write is synced.
+    last_indexes: VecDeque<(u64, u64)>,
     durable_index: u64,
 }
 
@@ -36,18 +38,18 @@
     pub(super) fn new(diskless: bool, durable_index: u64) -> Self {
         Self {
             diskless,
-            collecting: Vec::new(),
+            pending: Vec::new(),
             next_token: 1,
-            under_way: None,
-            waiting: VecDeque::new(),
-            reaches: VecDeque::new(),
+            in_flight_token: None,
+            deferred: VecDeque::new(),
+            last_indexes: VecDeque::new(),
             durable_index,
         }
     }
 
-    /// The last index of the log that is synced. While a write is under way that
-    /// replaces entries it may be too high; a leader was elected by its own vote,
-    /// which waited for all such writes.
+    /// Returns the last synced index of the log. It may be too high while a write that
+    /// replaces entries is in flight. That cannot be the case on a leader: it was
+    /// elected with its own vote, which waited for all such writes.
     pub(super) fn durable_index(&self) -> u64 {
         self.durable_index
     }
@@ -57,65 +59,75 @@
             return;
         }
         match &record {
-            Record::Entry(entry) => self.reach(entry.index),
-            Record::Truncate { from } => self.reach(from.saturating_sub(1).min(self.reached())),
-            Record::Snapshot(snapshot) => self.reach(snapshot.index.max(self.reached())),
+            Record::Entry(entry) => self.set_last_index(entry.index),
+            Record::Truncate { from } => {
+                self.set_last_index(from.saturating_sub(1).min(self.written_index()))
+            }
+            Record::Snapshot(snapshot) => {
+                self.set_last_index(snapshot.index.max(self.written_index()))
+            }
             Record::Hard(_) | Record::Identity { .. } => {}
         }
-        self.collecting.push(record);
+        self.pending.push(record);
     }
 
-    /// Returns the action once all that was written before it is synced: at once
-    /// if it is, else from [`Journal::synced`].
-    pub(super) fn after_sync(&mut self, what: Waiting) -> Option<Waiting> {
-        let token = if !self.collecting.is_empty() {
+    /// Holds the work back until all earlier records are synced; [`Journal::synced`]
+    /// returns it then. Returns it immediately if nothing is waiting for a sync.
+    pub(super) fn after_sync(&mut self, deferred: Deferred) -> Option<Deferred> {
+        let token = if !self.pending.is_empty() {
             self.next_token
-        } else if let Some(token) = self.under_way {
+        } else if let Some(token) = self.in_flight_token {
             token
         } else {
-            return Some(what);
+            return Some(deferred);
         };
-        self.waiting.push_back((token, what));
+        self.deferred.push_back((token, deferred));
         None
     }
 
-    /// The next write, if there is one and none is under way.
+    /// Returns the next write, if there are pending records and no write is in flight.
     pub(super) fn flush(&mut self) -> Option<Action> {
-        if self.under_way.is_some() || self.collecting.is_empty() {
+        if self.in_flight_token.is_some() || self.pending.is_empty() {
             return None;
         }
         let token = self.next_token;
         self.next_token += 1;
-        self.under_way = Some(token);
+        self.in_flight_token = Some(token);
         Some(Action::Persist {
             token,
-            records: std::mem::take(&mut self.collecting),
+            records: std::mem::take(&mut self.pending),
         })
     }
 
-    /// The write with the token is synced; returns what waited for it.
-    pub(super) fn synced(&mut self, token: u64) -> Vec<Waiting> {
-        if self.under_way != Some(token) {
+    /// Notes that the write with this token is synced and returns the work that waited
+    /// for it.
+    pub(super) fn synced(&mut self, token: u64) -> Vec<Deferred> {
+        if self.in_flight_token != Some(token) {
             return Vec::new();
         }
-        self.under_way = None;
-        let done = self.reaches.partition_point(|(t, _)| *t <= token);
-        if let Some((_, index)) = self.reaches.drain(..done).next_back() {
+        self.in_flight_token = None;
+        let done = self.last_indexes.partition_point(|(t, _)| *t <= token);
+        if let Some((_, index)) = self.last_indexes.drain(..done).next_back() {
             self.durable_index = index;
         }
-        let ready = self.waiting.partition_point(|(t, _)| *t <= token);
-        self.waiting.drain(..ready).map(|(_, what)| what).collect()
+        let ready = self.deferred.partition_point(|(t, _)| *t <= token);
+        self.deferred
+            .drain(..ready)
+            .map(|(_, deferred)| deferred)
+            .collect()
     }
 
-    /// The index reached when all writes are synced.
-    fn reached(&self) -> u64 {
-        self.reaches.back().map_or(self.durable_index, |(_, i)| *i)
+    /// Returns the last index of the log once all writes are synced.
+    fn written_index(&self) -> u64 {
+        self.last_indexes
+            .back()
+            .map_or(self.durable_index, |(_, i)| *i)
     }
 
-    fn reach(&mut self, index: u64) {
-        match self.reaches.back_mut() {
-            Some((token, reached)) if *token == self.next_token => *reached = index,
-            _ => self.reaches.push_back((self.next_token, index)),
+    fn set_last_index(&mut self, index: u64) {
+        match self.last_indexes.back_mut() {
+            Some((token, last)) if *token == self.next_token => *last = index,
+            _ => self.last_indexes.push_back((self.next_token, index)),
         }
     }
 }
--- /dev/null
+++ b/src/consensus/leadership_transfer.rs
@@ -0,0 +1,62 @@
+//! Leadership transfer before a planned stop.
+//!
+//! Without it, the other voters wait an election timeout for a leader that stopped as
+//! planned, and every change and every claim stalls for a second. The leader names the
+//! voter with the most complete log as successor. That one starts an election at once,
+//! and the other voters, which know that the leader is gone, may vote for it. The
+//! successor still needs a quorum, so a lost message costs only the usual timeout.
+
+use crate::model::EntryName;
+
+use super::replica::RoleState;
+use super::{Message, Replica};
+
+impl Replica {
+    /// Gives up leadership. Does nothing on a replica that is not the leader.
+    pub(super) fn resign(&mut self, now_ms: u64) {
+        let Some(successor) = self.pick_successor() else {
+            return;
+        };
+        let term = self.hard.term;
+        for to in self.peers.clone() {
+            let successor = successor.clone();
+            self.send(to, Message::Resign { term, successor });
+        }
+        self.leader = None;
+        self.leader_heard_ms = None;
+        self.become_follower(now_ms);
+    }
+
+    /// On the leader: returns the other voter with the most complete log.
+    fn pick_successor(&self) -> Option<EntryName> {
+        let RoleState::Leader(leader) = &self.role_state else {
+            return None;
+        };
+        let voters = self.log.membership().without(&self.settings.me);
+        voters
+            .iter()
+            .max_by_key(|(name, _)| leader.peers.get(*name).map_or(0, |p| p.match_index))
+            .map(|(name, _)| name.clone())
+    }
+
+    /// Handles the resignation of the leader: this replica may vote again at once, and
+    /// starts an election if it is the successor.
+    pub(super) fn handle_resign(
+        &mut self,
+        now_ms: u64,
+        from: &EntryName,
+        term: u64,
+        successor: &EntryName,
+    ) {
+        // Ignores a late message and one from a former leader.
+        if term != self.hard.term || self.leader.as_ref() != Some(from) {
+            return;
+        }
+        self.leader = None;
+        self.leader_heard_ms = None;
+        self.resigned_term = Some(term);
+        if *successor == self.settings.me && self.is_voter() {
+            self.campaign(now_ms, true);
+        }
+    }
+}
--- a/src/consensus/log.rs
+++ b/src/consensus/log.rs
@@ -2,15 +2,14 @@
 
 use super::{Entry, Membership, Recovered, Snapshot};
 
-/// The entries that are not compacted away, and the voters as they follow from
-/// the log.
+/// The entries after the compaction point, and the memberships that they define.
 #[derive(Debug)]
 pub(super) struct Log {
-    /// The entry before the first kept one.
+    /// Index of the last compacted entry; 0 if none is compacted.
     base_index: u64,
     base_term: u64,
     entries: VecDeque<Entry>,
-    /// Each membership with the index it counts from; never empty.
+    /// Each membership with the index from which it is in force; never empty.
     memberships: Vec<(u64, Membership)>,
 }
 
@@ -31,7 +30,7 @@
         log
     }
 
-    /// An empty log after a snapshot.
+    /// Returns an empty log that continues after a snapshot.
     pub(super) fn after(snapshot: &Snapshot) -> Self {
         Self {
             base_index: snapshot.index,
@@ -53,7 +52,8 @@
         self.entries.back().map_or(self.base_term, |e| e.term)
     }
 
-    /// The term of the entry at `index`; none if it is not in the log or compacted.
+    /// Returns the term of the entry at `index`, or `None` if the entry is compacted or
+    /// not in the log.
     pub(super) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -62,16 +62,17 @@
     }
 
     pub(super) fn get(&self, index: u64) -> Option<&Entry> {
-        let place = index.checked_sub(self.base_index + 1)?;
-        self.entries.get(usize::try_from(place).ok()?)
+        let position = index.checked_sub(self.base_index + 1)?;
+        self.entries.get(usize::try_from(position).ok()?)
     }
 
-    /// Entries from `from` up to and with `to`.
+    /// Returns the entries from `from` up to and including `to`.
     pub(super) fn range(&self, from: u64, to: u64) -> impl Iterator<Item = &Entry> {
         (from..=to).map_while(|index| self.get(index))
     }
 
-    /// Entries from `from` on, at least one if there is any, up to `limit_bytes`.
+    /// Returns entries from `from` on, up to `limit_bytes` in total but at least one if
+    /// there is any.
     pub(super) fn batch(&self, from: u64, limit_bytes: usize) -> Vec<Entry> {
         let mut size = 0;
         self.range(from, self.last_index())
@@ -84,7 +85,7 @@
             .collect()
     }
 
-    /// Adds an entry, in place of one at the same index and all after it.
+    /// Adds an entry, replacing the entry at its index and all later ones.
     pub(super) fn push(&mut self, entry: Entry) {
         self.truncate(entry.index);
         if let Some(membership) = &entry.membership {
@@ -93,7 +94,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from `from` on; the voters are again those before it.
+    /// Removes the entries from `from` on, and the memberships that they defined.
     pub(super) fn truncate(&mut self, from: u64) {
         let keep = from.saturating_sub(self.base_index + 1);
         self.entries
@@ -103,22 +104,22 @@
         }
     }
 
-    /// Drops the entries up to and with `index`.
+    /// Removes the entries up to and including `index`.
     pub(super) fn compact(&mut self, index: u64) {
         let Some(term) = self.term_at(index) else {
             return;
         };
-        let drop = index - self.base_index;
-        self.entries.drain(..usize::try_from(drop).unwrap_or(0));
+        let count = index - self.base_index;
+        self.entries.drain(..usize::try_from(count).unwrap_or(0));
         self.base_index = index;
         self.base_term = term;
         let kept = self.memberships.partition_point(|(from, _)| *from <= index);
         self.memberships.drain(..kept.saturating_sub(1));
     }
 
-    /// The last index that can match a leader's log which has another entry, or
-    /// none, at `index`.
-    pub(super) fn before_conflict(&self, index: u64) -> u64 {
+    /// Returns the last index that can match the leader's log when the entry at `index`
+    /// is missing here or has another term there. It skips all entries of that term.
+    pub(super) fn last_possible_match(&self, index: u64) -> u64 {
         if index > self.last_index() {
             return self.last_index();
         }
@@ -130,20 +131,20 @@
         at
     }
 
-    /// The voters that count now.
+    /// Returns the membership in force.
     pub(super) fn membership(&self) -> &Membership {
         let last = self.memberships.last();
         &last
-            .expect("never emptied: truncate and compact keep one")
+            .expect("truncate and compact always keep one membership")
             .1
     }
 
-    /// The index from which they count.
+    /// Returns the index of the entry that defined the membership in force.
     pub(super) fn membership_index(&self) -> u64 {
         self.memberships.last().map_or(0, |(from, _)| *from)
     }
 
-    /// The voters as of `index`, which must not be compacted away.
+    /// Returns the membership as of `index`, which must not be compacted.
     pub(super) fn membership_at(&self, index: u64) -> &Membership {
         let later = self.memberships.partition_point(|(from, _)| *from <= index);
         &self.memberships[later.saturating_sub(1)].1
--- a/src/consensus/message.rs
+++ b/src/consensus/message.rs
@@ -4,174 +4,175 @@
 
 use super::{Entry, Membership, VoterChange};
 
-/// What replicas say to each other. None is larger than about half a mebibyte.
+/// A message between replicas. None is larger than about half a mebibyte.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A command for the leader.
+    /// Forwards a command to the leader.
     Forward {
-        /// The command's bytes.
+        /// The encoded command.
         command: Vec<u8>,
     },
-    /// A change of the voters for the leader.
+    /// Forwards a change of the voters to the leader.
     ForwardChange {
-        /// The change.
+        /// The requested change.
         change: VoterChange,
     },
-    /// The founder asks whether a first voter is still empty.
+    /// The founder asks an initial voter whether it is still empty.
     Found {
-        /// The founder's incarnation, so that an answer to an earlier founder
-        /// under the same name is not taken for one to this one.
+        /// Incarnation of the founder, which tells replies to this question from replies
+        /// to an earlier founder of the same name.
         founder: u64,
     },
-    /// The answer to [`Message::Found`].
+    /// The reply to [`Message::Found`].
     FoundReply {
-        /// From the question.
+        /// Copied from [`Message::Found`].
         founder: u64,
-        /// The incarnation of the answering data folder.
+        /// Incarnation of the replying data folder.
         incarnation: u64,
-        /// Whether it never voted and holds nothing.
+        /// Whether the replying voter never voted and has an empty log.
         empty: bool,
     },
     /// A candidate asks for a vote.
     Vote(VoteRequest),
-    /// The answer to [`Message::Vote`].
+    /// The reply to [`Message::Vote`].
     VoteReply {
-        /// Of the request if granted, else of the answering replica.
+        /// Term of the request if the vote is granted, else of the replying replica.
         term: u64,
-        /// From the request.
+        /// Copied from the request.
         pre: bool,
-        /// Whether the vote was given.
+        /// Whether the vote is granted.
         granted: bool,
-        /// The incarnation that answers.
+        /// Incarnation of the replying data folder.
         incarnation: u64,
     },
-    /// The leader shows that it is alive and sends entries, or none.
+    /// A heartbeat with new entries, or with none.
     Append {
-        /// What each message of a leader carries.
-        beat: Beat,
-        /// The index before the entries.
+        /// The heartbeat in each message of a leader.
+        beat: Heartbeat,
+        /// Index of the entry before `entries`.
         prev_index: u64,
-        /// The term of the entry at `prev_index`.
+        /// Term of the entry at `prev_index`.
         prev_term: u64,
-        /// The entries, without a gap.
+        /// Consecutive entries.
         entries: Vec<Entry>,
     },
-    /// A piece of a snapshot, for a replica whose next entry is compacted away.
+    /// A chunk of a snapshot, for a replica whose next entry is compacted on the leader.
     Chunk {
-        /// What each message of a leader carries.
-        beat: Beat,
-        /// The last entry in the snapshot.
+        /// The heartbeat in each message of a leader.
+        beat: Heartbeat,
+        /// Index of the last entry that the snapshot covers.
         index: u64,
-        /// That entry's term.
+        /// Term of that entry.
         term: u64,
-        /// The voters as of that entry.
+        /// Membership as of that entry.
         membership: Membership,
-        /// The size of the whole.
+        /// Size of the whole snapshot.
         total_bytes: u64,
-        /// Where this piece begins.
+        /// Offset of this chunk in the snapshot.
         offset_bytes: u64,
-        /// The piece.
+        /// Bytes of this chunk.
         data: Vec<u8>,
     },
-    /// The answer to [`Message::Append`] and [`Message::Chunk`].
+    /// The reply to [`Message::Append`] and [`Message::Chunk`].
     Reply(Reply),
-    /// The leader of this term gives up the lead before a planned stop.
+    /// The leader of this term gives up leadership before a planned stop.
     Resign {
-        /// The term that it led.
+        /// Term of the resigning leader.
         term: u64,
-        /// The voter that should ask for votes at once.
+        /// The voter that should start an election at once.
         successor: EntryName,
     },
 }
 
-/// A candidate's request for a vote.
+/// A candidate's request for a vote or a pre-vote.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteRequest {
-    /// The term the candidate wants to lead.
+    /// The term in which the candidate wants to lead.
     pub term: u64,
-    /// Whether it only asks if it would get the vote, which binds nobody.
+    /// Whether this is a pre-vote, which binds nobody.
     pub pre: bool,
-    /// The last entry of its log.
+    /// Index of the last entry in the candidate's log.
     pub last_index: u64,
-    /// That entry's term.
+    /// Term of that entry.
     pub last_term: u64,
-    /// The incarnation under which the candidate's membership counts the
-    /// receiver. Another one must not answer for it.
+    /// Incarnation of the receiver in the candidate's membership. A data folder with
+    /// another incarnation must not reply.
     pub counted_as: u64,
 }
 
-/// What each message of a leader carries.
+/// The heartbeat that is part of each message of a leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
-    /// The leader's term.
+pub struct Heartbeat {
+    /// Term of the leader.
     pub term: u64,
-    /// When it was sent, on the leader's clock; comes back in the reply.
+    /// Time of sending on the leader's clock, in milliseconds. The reply echoes it.
     pub sent_ms: u64,
-    /// The latest stamp heard from the receiver; none while the leader has no
-    /// quorum behind it. Extends the receiver's view lease.
+    /// The latest timestamp received from the receiver, which extends the receiver's view
+    /// lease; `None` while the leader has no quorum.
     pub heard: Option<Stamp>,
-    /// What the receiver acknowledged as durable in this term.
+    /// What the receiver has acknowledged as durable in this term.
     pub acked: Option<Acked>,
-    /// The leader's commit index.
+    /// Commit index of the leader.
     pub commit_index: u64,
 }
 
-/// A moment on the sender's clock.
+/// A timestamp on the sender's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Tells this start of the sender's process from others: clocks of different
-    /// starts can't be compared.
+    /// Random number that identifies one start of the sender's process. Timestamps of
+    /// different starts cannot be compared.
     pub start: u32,
-    /// The moment, in milliseconds.
+    /// Time on the sender's clock, in milliseconds.
     pub at_ms: u64,
 }
 
-/// What a data folder acknowledged as durable.
+/// The part of the log that a data folder has acknowledged as durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Acked {
-    /// The folder.
+    /// Incarnation of the data folder.
     pub incarnation: u64,
-    /// The last index it acknowledged.
+    /// The last acknowledged index.
     pub index: u64,
 }
 
-/// A replica's answer to its leader.
+/// A replica's reply to its leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
-    /// The replica's term; above the leader's, it deposes the leader.
+    /// Term of the replica. If it is higher than the leader's, the leader steps down.
     pub term: u64,
-    /// [`Beat::sent_ms`] of the message answered.
+    /// [`Heartbeat::sent_ms`] of the message to which this replies.
     pub echo_ms: u64,
-    /// When the answer was made.
+    /// Time at which the reply was created.
     pub stamp: Stamp,
-    /// Whose data folder answers, none without one.
+    /// Incarnation of the replica's data folder; `None` without one.
     pub incarnation: Option<u64>,
     /// The highest index applied.
     pub applied_index: u64,
-    /// What came of the message.
+    /// Outcome of the leader's message.
     pub outcome: ReplyOutcome,
 }
 
-/// What came of a leader's message.
+/// The outcome of a leader's message on the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplyOutcome {
-    /// The log equals the leader's up to this index, durably if it has a folder.
+    /// The log matches the leader's up to this index, durably if the replica has a data
+    /// folder.
     Matched {
-        /// The index.
+        /// The last matching index.
         index: u64,
     },
-    /// The entry before the sent ones is missing or another one.
+    /// The entry before the sent ones is missing or has another term.
     Conflict {
-        /// Where to try next: no entry after this one can match.
+        /// Index to try next: no later entry can match.
         index: u64,
     },
-    /// The pieces of a snapshot received so far.
+    /// The chunks of a snapshot received so far.
     Received {
-        /// The snapshot's index.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
-        /// Bytes received without a gap.
+        /// Contiguous bytes received.
         bytes: u64,
     },
-    /// The message was of an old term.
+    /// The message is from an older term.
     Stale,
 }
--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -1,42 +1,42 @@
-//! The replicated log: our own agreement among the entry instances that have a
-//! data folder (the voters), followed by those that have none (the learners).
+//! The replicated log: a Raft-style consensus protocol among the entry instances
+//! that have a data folder (the voters). Instances without one follow as learners.
 //!
-//! A replica is a plain object. The driver feeds it every [`Input`] with the
-//! present time and carries out every [`Action`]; commands are opaque bytes. One
-//! voter at a time leads: it orders the commands and commits those that a quorum
-//! of the voters has synced.
+//! A [`Replica`] does no I/O. The driver passes every [`Input`] to it with the
+//! current time and carries out every [`Action`] it returns; commands are opaque
+//! bytes. One voter at a time is the leader: it orders the commands and commits
+//! those that a quorum of the voters has synced to disk.
 
 mod action;
+mod bootstrap;
 mod election;
 mod entry;
-mod following;
-mod founding;
+mod follower;
 mod input;
 mod journal;
-mod leading;
+mod leader;
+mod leadership_transfer;
 mod log;
-mod meeting;
 mod membership;
+mod membership_changes;
 mod message;
+mod peers;
 mod progress;
 mod record;
 mod recovered;
 mod replica;
-mod resigning;
 mod settings;
 mod snapshot;
 mod snapshots;
 mod status;
-mod view;
+mod status_queries;
 mod voter_change;
-mod voters;
 
 pub use action::Action;
 pub use entry::Entry;
 pub use input::Input;
-pub use leading::COMMAND_LIMIT_BYTES;
+pub use leader::COMMAND_LIMIT_BYTES;
 pub use membership::Membership;
-pub use message::{Acked, Beat, Message, Reply, ReplyOutcome, Stamp, VoteRequest};
+pub use message::{Acked, Heartbeat, Message, Reply, ReplyOutcome, Stamp, VoteRequest};
 pub use record::{HardState, Record};
 pub use recovered::Recovered;
 pub use replica::Replica;
--- a/src/consensus/progress.rs
+++ b/src/consensus/progress.rs
@@ -3,52 +3,52 @@
 
 use super::{Reply, Snapshot, Stamp};
 
-/// Batches under way to one peer at a time. Enough to keep a link of a few
-/// milliseconds busy; more would only lengthen what is sent in vain to a dead peer.
-const IN_FLIGHT_MAX: usize = 8;
+/// Bounds the unacknowledged batches per peer. Eight keep a link with a latency of a few
+/// milliseconds busy; more would only be wasted on a peer that is down.
+const MAX_IN_FLIGHT_BATCHES: usize = 8;
 
-/// How far a leader knows one peer to be.
+/// The leader's view of one peer's log.
 #[derive(Debug)]
 pub(super) struct Progress {
-    /// The data folder that answers for the peer.
+    /// Incarnation of the data folder from which the peer replies.
     pub(super) incarnation: Option<u64>,
-    /// The last index that it acknowledged.
+    /// The last acknowledged index.
     pub(super) match_index: u64,
-    /// The next index to send.
+    /// Index of the next entry to send.
     pub(super) next_index: u64,
-    /// The highest index it said it applied.
+    /// The highest index that the peer reported as applied.
     pub(super) applied_index: u64,
-    /// The latest message of this leader that it answered, by when it was sent.
+    /// Sending time of the latest message of this leader that the peer answered.
     pub(super) echo_ms: Option<u64>,
-    /// The latest stamp heard from it.
+    /// The latest timestamp received from the peer.
     pub(super) stamp: Option<Stamp>,
-    /// When the view lease granted last ends, on the leader's clock.
+    /// End of the last granted view lease, on the leader's clock.
     pub(super) lease_end_ms: u64,
-    /// When something was sent to it last.
+    /// Time of the last message to the peer.
     pub(super) sent_ms: u64,
-    /// The commit index it was told last.
-    pub(super) commit_told: u64,
+    /// Commit index in the last message to the peer.
+    pub(super) sent_commit_index: u64,
     pub(super) mode: Mode,
 }
 
 /// How entries are sent to a peer.
 #[derive(Debug)]
 pub(super) enum Mode {
-    /// Where its log matches is not known: one message at a time.
+    /// The matching index is unknown; one message at a time searches for it.
     Probe {
-        /// Whether that message is under way.
-        waiting: bool,
+        /// Whether that message is still unanswered.
+        awaiting_reply: bool,
     },
-    /// Batches go out ahead of the answers.
+    /// Batches are pipelined without waiting for replies.
     Replicate {
-        /// The last index of each batch under way.
+        /// The last index of each unacknowledged batch.
         in_flight: VecDeque<u64>,
     },
-    /// It gets a snapshot, piece by piece.
+    /// A snapshot is transferred in chunks.
     Snapshot {
-        /// The snapshot.
+        /// The snapshot being transferred.
         snapshot: Arc<Snapshot>,
-        /// Bytes it has.
+        /// Bytes that the peer has received.
         bytes: u64,
     },
 }
@@ -64,18 +64,22 @@
             stamp: None,
             lease_end_ms,
             sent_ms: 0,
-            commit_told: 0,
-            mode: Mode::Probe { waiting: false },
+            sent_commit_index: 0,
+            mode: Mode::Probe {
+                awaiting_reply: false,
+            },
         }
     }
 
-    /// Notes who answered and when. An answer of another data folder voids what
-    /// was acknowledged before.
-    pub(super) fn heard(&mut self, now_ms: u64, reply: &Reply) {
+    /// Records the sender and time of a reply. A reply from another data folder voids
+    /// earlier acknowledgements.
+    pub(super) fn record_reply(&mut self, now_ms: u64, reply: &Reply) {
         if self.incarnation != reply.incarnation {
             self.incarnation = reply.incarnation;
             self.match_index = 0;
-            self.mode = Mode::Probe { waiting: false };
+            self.mode = Mode::Probe {
+                awaiting_reply: false,
+            };
         }
         self.echo_ms = self.echo_ms.max(Some(reply.echo_ms.min(now_ms)));
         match self.stamp {
@@ -91,8 +95,8 @@
         }
     }
 
-    /// The peer's log matches up to `index`.
-    pub(super) fn matched(&mut self, index: u64) {
+    /// Records that the peer's log matches up to `index`.
+    pub(super) fn record_match(&mut self, index: u64) {
         self.match_index = self.match_index.max(index);
         self.next_index = self.next_index.max(self.match_index + 1);
         match &mut self.mode {
@@ -109,51 +113,55 @@
         }
     }
 
-    /// The peer's log can match at `index` at most; `last_index` is the leader's.
-    pub(super) fn conflict(&mut self, index: u64, last_index: u64) {
+    /// Records that the peer's log matches up to `index` at most. `last_index` is the
+    /// last index of the leader's log.
+    pub(super) fn record_conflict(&mut self, index: u64, last_index: u64) {
         if let Mode::Snapshot { snapshot, bytes } = &self.mode
             && *bytes < snapshot.data.len() as u64
         {
             return;
         }
-        // What a folder acknowledged it still has: it went back too far, or its
-        // answer was overtaken on the way. A folder that lost it finds that out by
-        // itself (`Beat::acked`). A learner without one may have restarted.
+        // A data folder still has what it acknowledged: the peer went back too far, or
+        // the reply arrived out of order. A folder that lost acknowledged entries detects
+        // that itself (`Heartbeat::acked`). A learner without a folder may have restarted.
         let index = match self.incarnation {
             Some(_) => index.max(self.match_index),
             None => index,
         };
         self.match_index = self.match_index.min(index);
         self.next_index = index.min(last_index) + 1;
-        self.mode = Mode::Probe { waiting: false };
+        self.mode = Mode::Probe {
+            awaiting_reply: false,
+        };
     }
 
-    /// The peer has this much of the snapshot; whether the next piece is due.
-    pub(super) fn received(&mut self, of_index: u64, received: u64) -> bool {
+    /// Records how much of the snapshot the peer has; returns whether to send the next
+    /// chunk.
+    pub(super) fn record_received(&mut self, snapshot_index: u64, received: u64) -> bool {
         match &mut self.mode {
-            Mode::Snapshot { snapshot, bytes } if snapshot.index == of_index => {
+            Mode::Snapshot { snapshot, bytes } if snapshot.index == snapshot_index => {
                 let total = snapshot.data.len() as u64;
-                let news = *bytes != received && received < total;
+                let is_new = *bytes != received && received < total;
                 *bytes = received.min(total);
-                news
+                is_new
             }
             Mode::Probe { .. } | Mode::Replicate { .. } | Mode::Snapshot { .. } => false,
         }
     }
 
-    /// Whether entries may be sent now.
-    pub(super) fn may_send(&self) -> bool {
+    /// Returns whether entries may be sent to the peer now.
+    pub(super) fn can_send(&self) -> bool {
         match &self.mode {
-            Mode::Probe { waiting } => !waiting,
-            Mode::Replicate { in_flight } => in_flight.len() < IN_FLIGHT_MAX,
+            Mode::Probe { awaiting_reply } => !awaiting_reply,
+            Mode::Replicate { in_flight } => in_flight.len() < MAX_IN_FLIGHT_BATCHES,
             Mode::Snapshot { .. } => false,
         }
     }
 
-    /// Entries up to `last` were sent.
-    pub(super) fn sent(&mut self, last: u64) {
+    /// Records that entries up to `last` were sent.
+    pub(super) fn record_sent(&mut self, last: u64) {
         match &mut self.mode {
-            Mode::Probe { waiting } => *waiting = true,
+            Mode::Probe { awaiting_reply } => *awaiting_reply = true,
             Mode::Replicate { in_flight } => {
                 in_flight.push_back(last);
                 self.next_index = last + 1;
--- a/src/consensus/record.rs
+++ b/src/consensus/record.rs
@@ -6,32 +6,33 @@
 
 use super::{Entry, Snapshot};
 
-/// What a voter must not forget before it answers; replayed in this order.
+/// A record of the write-ahead log, synced before the voter answers and replayed in
+/// order after a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// The term and the vote.
+    /// The current term and the vote.
     Hard(HardState),
-    /// An entry. It takes the place of one with the same index and of all after.
+    /// An entry. It replaces the entry at its index and all later ones.
     Entry(Entry),
-    /// All entries from this index on are void.
+    /// Removes all entries from an index on.
     Truncate {
-        /// The first void index.
+        /// The first removed index.
         from: u64,
     },
-    /// Takes the place of all entries up to its index.
+    /// A snapshot. It replaces all entries up to its index.
     Snapshot(Arc<Snapshot>),
-    /// The folder gave up its identity and has a new one.
+    /// The data folder took a new incarnation because it had lost acknowledged entries.
     Identity {
         /// The new incarnation.
         incarnation: u64,
     },
 }
 
-/// The term a replica is in and its vote in that term.
+/// The current term of a replica and its vote in that term.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// Whom it voted for in this term.
+    /// The candidate that got the vote in this term.
     pub voted_for: Option<EntryName>,
 }
--- a/src/consensus/recovered.rs
+++ b/src/consensus/recovered.rs
@@ -2,16 +2,16 @@
 
 use super::{Entry, HardState, Snapshot};
 
-/// What a data folder remembers; the default is a replica without a folder.
+/// The state recovered from a data folder. The default is that of a replica without one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// The folder's incarnation, drawn at random when it was created. None for a
+    /// Incarnation of the data folder, drawn at random at its creation; `None` for a
     /// learner without a folder.
     pub incarnation: Option<u64>,
-    /// The term and the vote.
+    /// The last term and vote.
     pub hard: HardState,
     /// The latest snapshot.
     pub snapshot: Option<Arc<Snapshot>>,
-    /// The entries after the snapshot, without a gap.
+    /// The consecutive entries after the snapshot.
     pub entries: Vec<Entry>,
 }
--- a/src/consensus/replica.rs
+++ b/src/consensus/replica.rs
@@ -6,91 +6,92 @@
 
 use crate::model::EntryName;
 
-use super::founding::Founding;
-use super::journal::{Journal, Waiting};
-use super::leading::Leading;
+use super::bootstrap::Bootstrap;
+use super::journal::{Deferred, Journal};
+use super::leader::LeaderState;
 use super::log::Log;
-use super::snapshots::Incoming;
+use super::snapshots::IncomingSnapshot;
 use super::{
     Action, COMMAND_LIMIT_BYTES, HardState, Input, Message, Record, Recovered, ReplicaSettings,
     Snapshot, VoterChange,
 };
 
-/// One entry instance's copy of the log: a voter if the membership counts its
+/// An entry instance's copy of the replicated log: a voter if the membership lists its
 /// data folder, else a learner.
 ///
-/// It holds no clock, socket, thread or file. `now_ms` may start anywhere but
-/// must not go back while the object lives.
+/// It owns no clock, socket, thread or file. `now_ms` may start at any value but must
+/// not go backwards during the lifetime of the object.
 #[derive(Debug)]
 pub struct Replica {
     pub(super) settings: ReplicaSettings,
-    /// All other entry instances, in the order of their names.
-    pub(super) others: Vec<EntryName>,
+    /// All other entry instances, ordered by name.
+    pub(super) peers: Vec<EntryName>,
     pub(super) rng: ChaCha8Rng,
-    /// Tells this start from others.
-    pub(super) start: u32,
+    /// Random number that identifies this start of the process.
+    pub(super) start_id: u32,
     pub(super) started_ms: u64,
     pub(super) incarnation: Option<u64>,
     pub(super) hard: HardState,
     pub(super) log: Log,
     pub(super) journal: Journal,
     pub(super) snapshot: Option<Arc<Snapshot>>,
-    pub(super) incoming: Option<Incoming>,
-    pub(super) taking_snapshot: bool,
-    /// Up to which entry the last snapshot that was asked for goes.
-    pub(super) snapshot_asked_index: u64,
+    pub(super) incoming: Option<IncomingSnapshot>,
+    pub(super) snapshot_pending: bool,
+    /// Index that the last requested snapshot covers.
+    pub(super) snapshot_requested_index: u64,
     pub(super) commit_index: u64,
     pub(super) applied_index: u64,
-    pub(super) part: Part,
+    pub(super) role_state: RoleState,
     pub(super) leader: Option<EntryName>,
-    /// When a leader was heard last.
-    pub(super) heard_ms: Option<u64>,
+    /// Time of the last message from a leader.
+    pub(super) leader_heard_ms: Option<u64>,
     /// The term whose leader resigned.
     pub(super) resigned_term: Option<u64>,
-    /// The latest moment at which the leader has proved to know of this replica.
-    pub(super) confirmed_ms: Option<u64>,
-    /// Who elected it in the present term, itself included.
+    /// Latest timestamp of this replica that the leader has confirmed; the view lease
+    /// counts from it.
+    pub(super) view_confirmed_ms: Option<u64>,
+    /// Voters that voted for this replica in the current term, itself included.
     pub(super) votes: BTreeSet<EntryName>,
-    /// The term in which it has led, if any.
-    pub(super) led_term: Option<u64>,
-    /// The candidate that was told last that it would be elected, and when.
-    pub(super) favoured: Option<(EntryName, u64)>,
-    /// When to ask for an election.
-    pub(super) election_ms: u64,
-    pub(super) founding: Founding,
-    pub(super) out: Vec<Action>,
+    /// The last term in which this replica was the leader.
+    pub(super) last_led_term: Option<u64>,
+    /// The candidate to which this replica last granted a pre-vote, and the time.
+    pub(super) last_pre_vote: Option<(EntryName, u64)>,
+    /// Time at which the election timeout expires.
+    pub(super) election_due_ms: u64,
+    pub(super) bootstrap: Bootstrap,
+    pub(super) actions: Vec<Action>,
 }
 
-/// What a replica does at present.
+/// The current role of a replica with the state that belongs to it.
 #[derive(Debug)]
-pub(super) enum Part {
+pub(super) enum RoleState {
     Follower,
     Candidate {
-        /// Whether it only asks if it would be elected.
+        /// Whether this is a pre-vote round.
         pre: bool,
-        /// Who would elect it.
+        /// Voters that granted a pre-vote.
         granted: BTreeSet<EntryName>,
-        /// Who refused.
+        /// Voters that refused.
         refused: BTreeSet<EntryName>,
     },
-    Leader(Box<Leading>),
+    Leader(Box<LeaderState>),
 }
 
 impl Replica {
-    /// A replica that goes on from what its data folder remembers, or
-    /// `Recovered::default()` for one without a folder.
+    /// Creates a replica from the state of its data folder, or from
+    /// `Recovered::default()` if it has none.
     pub fn new(settings: ReplicaSettings, mut recovered: Recovered, now_ms: u64) -> Self {
-        let mut others: BTreeSet<EntryName> = settings.voters.iter().cloned().collect();
-        others.extend(settings.peers.iter().cloned());
-        others.remove(&settings.me);
+        let mut peers: BTreeSet<EntryName> = settings.voters.iter().cloned().collect();
+        peers.extend(settings.peers.iter().cloned());
+        peers.remove(&settings.me);
         let mut rng = ChaCha8Rng::seed_from_u64(settings.seed);
-        let start = rng.random();
+        let start_id = rng.random();
         let log = Log::new(&mut recovered);
         let applied = recovered.snapshot.as_ref().map_or(0, |s| s.index);
         let mut replica = Self {
-            others: others.into_iter().collect(),
+            peers: peers.into_iter().collect(),
             rng,
-            start,
+            start_id,
             started_ms: now_ms,
             incarnation: recovered.incarnation,
             hard: recovered.hard,
@@ -98,90 +99,90 @@
             log,
             snapshot: recovered.snapshot,
             incoming: None,
-            taking_snapshot: false,
-            snapshot_asked_index: 0,
+            snapshot_pending: false,
+            snapshot_requested_index: 0,
             commit_index: applied,
             applied_index: applied,
-            part: Part::Follower,
+            role_state: RoleState::Follower,
             leader: None,
-            heard_ms: None,
+            leader_heard_ms: None,
             resigned_term: None,
-            confirmed_ms: None,
+            view_confirmed_ms: None,
             votes: BTreeSet::new(),
-            led_term: None,
-            favoured: None,
-            election_ms: 0,
-            founding: Founding::default(),
-            out: Vec::new(),
+            last_led_term: None,
+            last_pre_vote: None,
+            election_due_ms: 0,
+            bootstrap: Bootstrap::default(),
+            actions: Vec::new(),
             settings,
         };
-        replica.rest(now_ms);
+        replica.reset_election_timer(now_ms);
         replica.restore_snapshot();
         replica
     }
 
-    /// Takes one input and returns what to do, in this order.
+    /// Handles one input and returns the actions to carry out, in order.
     pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Action> {
         match input {
             Input::Tick => self.tick(now_ms),
-            Input::Message { from, message } => self.message(now_ms, from, message),
+            Input::Message { from, message } => self.handle_message(now_ms, from, message),
             Input::Propose { command } => self.propose(command),
             Input::ChangeVoters { change } => self.change_voters(change),
-            Input::Meet { name } => self.meet(now_ms, name),
+            Input::Meet { name } => self.add_peer(now_ms, name),
             Input::Resign => self.resign(now_ms),
-            Input::Persisted { token } => self.persisted(now_ms, token),
-            Input::SnapshotTaken { index, data } => self.snapshot_taken(index, data),
+            Input::Persisted { token } => self.handle_persisted(now_ms, token),
+            Input::SnapshotTaken { index, data } => self.handle_snapshot_taken(index, data),
         }
-        self.meet_voters(now_ms);
-        self.lead_on(now_ms);
-        self.out.extend(self.journal.flush());
-        std::mem::take(&mut self.out)
+        self.add_peers_from_membership(now_ms);
+        self.advance_leader(now_ms);
+        self.actions.extend(self.journal.flush());
+        std::mem::take(&mut self.actions)
     }
 
     fn tick(&mut self, now_ms: u64) {
-        match self.part {
-            Part::Leader(_) => self.tick_leader(now_ms),
-            Part::Follower | Part::Candidate { .. } => {
-                if self.leader.is_some() && !self.hears_leader(now_ms) {
+        match self.role_state {
+            RoleState::Leader(_) => self.tick_leader(now_ms),
+            RoleState::Follower | RoleState::Candidate { .. } => {
+                if self.leader.is_some() && !self.has_recent_leader(now_ms) {
                     self.leader = None;
                 }
-                self.found(now_ms);
+                self.tick_bootstrap(now_ms);
                 self.tick_election(now_ms);
             }
         }
     }
 
-    fn message(&mut self, now_ms: u64, from: EntryName, message: Message) {
+    fn handle_message(&mut self, now_ms: u64, from: EntryName, message: Message) {
         match message {
             Message::Forward { command } => {
-                if self.leads() {
+                if self.is_leader() {
                     self.propose(command);
                 }
             }
             Message::ForwardChange { change } => {
-                if self.leads() {
+                if self.is_leader() {
                     self.change_voters(change);
                 }
             }
-            Message::Found { founder } => self.asked_by_founder(from, founder),
+            Message::Found { founder } => self.handle_found(from, founder),
             Message::FoundReply {
                 founder,
                 incarnation,
                 empty,
-            } => self.founder_answered(now_ms, from, founder, incarnation, empty),
-            Message::Vote(request) => self.asked_for_vote(now_ms, from, &request),
+            } => self.handle_found_reply(now_ms, from, founder, incarnation, empty),
+            Message::Vote(request) => self.handle_vote_request(now_ms, from, &request),
             Message::VoteReply {
                 term,
                 pre,
                 granted,
                 incarnation,
-            } => self.vote_answered(now_ms, from, term, pre, granted, incarnation),
+            } => self.handle_vote_reply(now_ms, from, term, pre, granted, incarnation),
             Message::Append {
                 beat,
                 prev_index,
                 prev_term,
                 entries,
-            } => self.append(now_ms, from, &beat, (prev_index, prev_term), entries),
+            } => self.handle_append(now_ms, from, &beat, (prev_index, prev_term), entries),
             Message::Chunk {
                 beat,
                 index,
@@ -191,13 +192,13 @@
                 offset_bytes,
                 data,
             } => {
-                let head = Incoming::new(index, term, membership, total_bytes);
-                self.chunk(now_ms, from, &beat, head, offset_bytes, &data);
+                let head = IncomingSnapshot::new(index, term, membership, total_bytes);
+                self.handle_chunk(now_ms, from, &beat, head, offset_bytes, &data);
             }
             Message::Resign { term, successor } => {
-                self.leader_resigned(now_ms, &from, term, &successor);
+                self.handle_resign(now_ms, &from, term, &successor);
             }
-            Message::Reply(reply) => self.replied(now_ms, from, &reply),
+            Message::Reply(reply) => self.handle_reply(now_ms, from, &reply),
         }
     }
 
@@ -210,52 +211,52 @@
             );
             return;
         }
-        if self.leads() {
-            self.add_command(command);
+        if self.is_leader() {
+            self.append_command(command);
         } else if let Some(to) = self.leader.clone() {
             self.send(to, Message::Forward { command });
         }
     }
 
     fn change_voters(&mut self, change: VoterChange) {
-        if let Part::Leader(leading) = &mut self.part {
-            leading.wanted.insert(change);
+        if let RoleState::Leader(leader) = &mut self.role_state {
+            leader.requested_changes.insert(change);
         } else if let Some(to) = self.leader.clone() {
             self.send(to, Message::ForwardChange { change });
         }
     }
 
-    fn persisted(&mut self, now_ms: u64, token: u64) {
-        for what in self.journal.synced(token) {
-            self.act(now_ms, what);
+    fn handle_persisted(&mut self, now_ms: u64, token: u64) {
+        for deferred in self.journal.synced(token) {
+            self.run_deferred(now_ms, deferred);
         }
     }
 
-    fn act(&mut self, now_ms: u64, what: Waiting) {
-        match what {
-            Waiting::Act(action) => self.out.push(action),
-            Waiting::OwnVote { term } => self.own_vote(now_ms, term),
+    fn run_deferred(&mut self, now_ms: u64, deferred: Deferred) {
+        match deferred {
+            Deferred::Action(action) => self.actions.push(action),
+            Deferred::OwnVote { term } => self.count_own_vote(now_ms, term),
         }
     }
 
-    /// Does it once everything written so far is synced.
-    pub(super) fn after_sync(&mut self, now_ms: u64, what: Waiting) {
-        if let Some(now) = self.journal.after_sync(what) {
-            self.act(now_ms, now);
+    /// Runs the deferred work once all records written so far are synced.
+    pub(super) fn after_sync(&mut self, now_ms: u64, deferred: Deferred) {
+        if let Some(ready) = self.journal.after_sync(deferred) {
+            self.run_deferred(now_ms, ready);
         }
     }
 
-    /// Sends it once everything written so far is synced.
+    /// Sends the message once all records written so far are synced.
     pub(super) fn send_after_sync(&mut self, now_ms: u64, to: EntryName, message: Message) {
         let action = Action::Send { to, message };
-        self.after_sync(now_ms, Waiting::Act(action));
+        self.after_sync(now_ms, Deferred::Action(action));
     }
 
     pub(super) fn send(&mut self, to: EntryName, message: Message) {
-        self.out.push(Action::Send { to, message });
+        self.actions.push(Action::Send { to, message });
     }
 
-    /// Enters a higher term, in which it has not voted.
+    /// Enters a higher term as a follower that has not voted.
     pub(super) fn enter_term(&mut self, now_ms: u64, term: u64) {
         self.hard = HardState {
             term,
@@ -268,41 +269,42 @@
     }
 
     pub(super) fn become_follower(&mut self, now_ms: u64) {
-        self.part = Part::Follower;
-        self.rest(now_ms);
+        self.role_state = RoleState::Follower;
+        self.reset_election_timer(now_ms);
     }
 
-    /// Draws anew how long to wait for a leader.
-    pub(super) fn rest(&mut self, now_ms: u64) {
+    /// Restarts the election timer with a new random timeout.
+    pub(super) fn reset_election_timer(&mut self, now_ms: u64) {
         let timeout_ms = self.settings.election_timeout_ms;
         let more_ms = self.rng.random_range(0..=timeout_ms / 2);
-        self.election_ms = now_ms + timeout_ms + more_ms;
+        self.election_due_ms = now_ms + timeout_ms + more_ms;
     }
 
-    /// Draws anew how long to wait after a round that was lost early: the voters answer, so
-    /// only their reasons have to pass.
-    pub(super) fn rest_briefly(&mut self, now_ms: u64) {
+    /// Restarts the election timer with a short random timeout after a lost round: the
+    /// voters are reachable, so only the cause of their refusal has to pass.
+    pub(super) fn shorten_election_timer(&mut self, now_ms: u64) {
         let timeout_ms = self.settings.election_timeout_ms;
-        self.election_ms = now_ms + self.rng.random_range(timeout_ms / 8..=timeout_ms / 2);
+        self.election_due_ms = now_ms + self.rng.random_range(timeout_ms / 8..=timeout_ms / 2);
     }
 
-    pub(super) fn leads(&self) -> bool {
-        matches!(self.part, Part::Leader(_))
+    pub(super) fn is_leader(&self) -> bool {
+        matches!(self.role_state, RoleState::Leader(_))
     }
 
-    /// Whether the membership counts this replica's data folder.
+    /// Returns whether the membership lists this replica's data folder.
     pub(super) fn is_voter(&self) -> bool {
         let membership = self.log.membership();
         membership.counts(&self.settings.me, self.incarnation)
     }
 
-    /// Whether a leader was heard within the shortest election timeout.
-    pub(super) fn hears_leader(&self, now_ms: u64) -> bool {
+    /// Returns whether a leader was heard from within the shortest election timeout.
+    pub(super) fn has_recent_leader(&self, now_ms: u64) -> bool {
         let timeout_ms = self.settings.election_timeout_ms;
-        self.heard_ms.is_some_and(|at| now_ms < at + timeout_ms)
+        self.leader_heard_ms
+            .is_some_and(|at| now_ms < at + timeout_ms)
     }
 
-    /// Applies what is committed and not applied yet.
+    /// Applies the committed entries that are not applied yet.
     pub(super) fn apply(&mut self) {
         if self.commit_index <= self.applied_index {
             return;
@@ -310,7 +312,7 @@
         let range = self.log.range(self.applied_index + 1, self.commit_index);
         let entries = range.cloned().collect();
         self.applied_index = self.commit_index;
-        self.out.push(Action::Apply { entries });
-        self.consider_snapshot();
+        self.actions.push(Action::Apply { entries });
+        self.request_snapshot_if_due();
     }
 }
--- a/src/consensus/settings.rs
+++ b/src/consensus/settings.rs
@@ -1,27 +1,27 @@
 use crate::model::EntryName;
 
-/// How a replica is set up.
+/// Settings of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
-    /// Its own name.
+    /// Name of this replica's entry instance.
     pub me: EntryName,
-    /// The first voters. Used only to create a cluster, which needs all of them;
-    /// afterwards the membership in the log counts.
+    /// The initial voters. Used only to create a cluster, which needs all of them; after
+    /// that the membership in the log is in force.
     pub voters: Vec<EntryName>,
     /// All other entry instances, voters or not.
     pub peers: Vec<EntryName>,
-    /// How often a leader shows that it is alive.
+    /// Interval between the heartbeats of a leader, in milliseconds.
     pub heartbeat_ms: u64,
-    /// How long without a leader before an election; drawn anew each time
-    /// between this and half as much again. Several heartbeats long, or one lost message
-    /// costs an election.
+    /// Shortest election timeout, in milliseconds; each timeout is drawn at random
+    /// between this and one and a half times as much. It must span several heartbeats,
+    /// or a single lost message causes an election.
     pub election_timeout_ms: u64,
-    /// How long what a replica knows counts as recent after the leader confirmed
-    /// that it had heard from it.
+    /// Duration of the view lease in milliseconds: how long the state of a replica counts
+    /// as recent after it sent a message that the leader has confirmed.
     pub view_lease_ms: u64,
-    /// Entries between snapshots; 0 for no snapshots.
+    /// Number of entries between snapshots; 0 disables them.
     pub snapshot_every: u64,
-    /// Seeds the random numbers. It must differ from start to start: the number
-    /// drawn first tells one start of a process from the next.
+    /// Seed of the random number generator. It must differ between starts: the first
+    /// number drawn identifies this start of the process.
     pub seed: u64,
 }
--- a/src/consensus/snapshot.rs
+++ b/src/consensus/snapshot.rs
@@ -4,15 +4,15 @@
 
 use super::Membership;
 
-/// The state after an entry, in place of all entries up to it.
+/// The state after an entry, which replaces all entries up to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry in it.
+    /// Index of the last entry that the snapshot covers.
     pub index: u64,
-    /// That entry's term.
+    /// Term of that entry.
     pub term: u64,
-    /// The voters as of that entry.
+    /// Membership as of that entry.
     pub membership: Membership,
-    /// The state's bytes.
+    /// The encoded state.
     pub data: Arc<[u8]>,
 }
--- a/src/consensus/snapshots.rs
+++ b/src/consensus/snapshots.rs
@@ -1,20 +1,20 @@
-//! Snapshots: taking them, compacting the log, and taking one in from a leader.
+//! Snapshots: taking them, compacting the log, and installing one from a leader.
 
 use std::sync::Arc;
 
 use crate::model::EntryName;
 
 use super::log::Log;
-use super::{Action, Beat, Membership, Record, Replica, ReplyOutcome, Snapshot};
+use super::{Action, Heartbeat, Membership, Record, Replica, ReplyOutcome, Snapshot};
 
-/// The largest snapshot. None above is taken in from a leader, so that a wrong
-/// length can't ask for more memory than an entry instance has; so none above is
-/// taken either, as it would reach nobody. The log then grows instead.
+/// The largest snapshot, in bytes. A larger one from a leader is refused, so that a wrong
+/// length cannot exhaust the memory of an entry instance. A larger one is not taken
+/// either, because no peer would accept it; the log grows instead.
 pub const SNAPSHOT_LIMIT_BYTES: usize = 64 << 20;
 
-/// A snapshot that arrives piece by piece.
+/// A snapshot that arrives in chunks.
 #[derive(Debug)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     index: u64,
     term: u64,
     membership: Membership,
@@ -22,7 +22,7 @@
     data: Vec<u8>,
 }
 
-impl Incoming {
+impl IncomingSnapshot {
     pub(super) fn new(index: u64, term: u64, membership: Membership, total_bytes: u64) -> Self {
         Self {
             index,
@@ -33,46 +33,46 @@
         }
     }
 
-    fn same(&self, other: &Self) -> bool {
+    fn is_same_snapshot(&self, other: &Self) -> bool {
         (self.index, self.term, self.total_bytes) == (other.index, other.term, other.total_bytes)
     }
 
-    fn bytes(&self) -> u64 {
+    fn received_bytes(&self) -> u64 {
         self.data.len() as u64
     }
 
-    /// Takes a piece in if it continues what is there.
-    fn add(&mut self, offset_bytes: u64, data: &[u8]) {
-        let room = self.total_bytes.saturating_sub(self.bytes());
-        if offset_bytes == self.bytes() && data.len() as u64 <= room {
+    /// Appends a chunk if it follows directly on the bytes received so far.
+    fn push_chunk(&mut self, offset_bytes: u64, data: &[u8]) {
+        let remaining = self.total_bytes.saturating_sub(self.received_bytes());
+        if offset_bytes == self.received_bytes() && data.len() as u64 <= remaining {
             self.data.extend_from_slice(data);
         }
     }
 }
 
 impl Replica {
-    /// Asks for a snapshot if enough was applied since the last one.
-    pub(super) fn consider_snapshot(&mut self) {
+    /// Requests a snapshot if enough entries were applied since the last one.
+    pub(super) fn request_snapshot_if_due(&mut self) {
         if self.incarnation.is_none() {
-            // Nobody asks a learner without a folder for entries.
+            // A learner without a data folder never sends entries to others.
             self.log.compact(self.applied_index);
             return;
         }
         let every = self.settings.snapshot_every;
         let last = self.snapshot.as_ref().map_or(0, |s| s.index);
-        // One that came out too large counts as well. Else each entry that is applied asks
-        // for the next, and encoding a state of that size takes longer than a leader may be
-        // silent.
-        let last = last.max(self.snapshot_asked_index);
-        if every > 0 && !self.taking_snapshot && self.applied_index >= last + every {
-            self.taking_snapshot = true;
-            self.snapshot_asked_index = self.applied_index;
-            self.out.push(Action::TakeSnapshot);
+        // A snapshot that turned out too large counts as well. Otherwise each applied entry
+        // would request another one, and encoding a state of that size takes longer than
+        // a leader may be silent.
+        let last = last.max(self.snapshot_requested_index);
+        if every > 0 && !self.snapshot_pending && self.applied_index >= last + every {
+            self.snapshot_pending = true;
+            self.snapshot_requested_index = self.applied_index;
+            self.actions.push(Action::TakeSnapshot);
         }
     }
 
-    pub(super) fn snapshot_taken(&mut self, index: u64, data: Vec<u8>) {
-        self.taking_snapshot = false;
+    pub(super) fn handle_snapshot_taken(&mut self, index: u64, data: Vec<u8>) {
+        self.snapshot_pending = false;
         let last = self.snapshot.as_ref().map_or(0, |s| s.index);
         let Some(term) = self.log.term_at(index) else {
             return;
@@ -97,18 +97,17 @@
         });
         self.journal.write(Record::Snapshot(snapshot.clone()));
         self.snapshot = Some(snapshot);
-        // Some entries stay, so that a peer that is a little behind needs no
-        // snapshot.
+        // Keeps some entries, so that a peer that is slightly behind needs no snapshot.
         let kept = self.settings.snapshot_every / 2;
         self.log.compact(index.saturating_sub(kept));
     }
 
-    pub(super) fn chunk(
+    pub(super) fn handle_chunk(
         &mut self,
         now_ms: u64,
         from: EntryName,
-        beat: &Beat,
-        head: Incoming,
+        beat: &Heartbeat,
+        head: IncomingSnapshot,
         offset_bytes: u64,
         data: &[u8],
     ) {
@@ -125,13 +124,13 @@
             return;
         }
         let mut incoming = match self.incoming.take() {
-            Some(incoming) if incoming.same(&head) => incoming,
+            Some(incoming) if incoming.is_same_snapshot(&head) => incoming,
             _ => head,
         };
-        incoming.add(offset_bytes, data);
-        let bytes = incoming.bytes();
+        incoming.push_chunk(offset_bytes, data);
+        let bytes = incoming.received_bytes();
         let outcome = if bytes == incoming.total_bytes {
-            self.install(incoming);
+            self.install_snapshot(incoming);
             ReplyOutcome::Matched { index }
         } else {
             self.incoming = Some(incoming);
@@ -140,7 +139,7 @@
         self.reply(now_ms, from, beat, outcome);
     }
 
-    fn install(&mut self, incoming: Incoming) {
+    fn install_snapshot(&mut self, incoming: IncomingSnapshot) {
         let snapshot = Arc::new(Snapshot {
             index: incoming.index,
             term: incoming.term,
@@ -150,7 +149,7 @@
         if self.log.term_at(snapshot.index) == Some(snapshot.term) {
             self.log.compact(snapshot.index);
         } else {
-            // Entries after another history's can't be committed ones.
+            // Entries that follow a conflicting history cannot be committed.
             let from = snapshot.index.saturating_add(1);
             if self.log.last_index() >= from {
                 self.journal.write(Record::Truncate { from });
@@ -166,7 +165,7 @@
         self.restore_snapshot();
     }
 
-    /// Hands the snapshot's state to the driver.
+    /// Asks the driver to restore the state from the snapshot.
     pub(super) fn restore_snapshot(&mut self) {
         let Some(snapshot) = &self.snapshot else {
             return;
@@ -175,9 +174,9 @@
             index: snapshot.index,
             data: snapshot.data.to_vec(),
         };
-        self.out.push(restore);
+        self.actions.push(restore);
         if self.incarnation.is_none() {
-            // A learner without a folder keeps no second copy of the state.
+            // A learner without a data folder keeps no second copy of the state.
             self.snapshot = None;
         }
     }
--- a/tests/consensus_replica.rs
+++ b/tests/consensus_replica.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rosemarygauge::consensus::{
-    Action, Beat, Entry, HardState, Input, Membership, Message, Record, Recovered, Replica,
+    Action, Entry, HardState, Heartbeat, Input, Membership, Message, Record, Recovered, Replica,
     ReplicaSettings, Reply, ReplyOutcome, Role, Stamp, VoteRequest, VoterChange,
 };
 use rosemarygauge::model::EntryName;
@@ -64,8 +64,8 @@
     Input::Message { from, message }
 }
 
-fn beat(term: u64, heard: Option<Stamp>, commit_index: u64) -> Beat {
-    Beat {
+fn beat(term: u64, heard: Option<Stamp>, commit_index: u64) -> Heartbeat {
+    Heartbeat {
         term,
         sent_ms: 0,
         heard,
@@ -74,7 +74,7 @@
     }
 }
 
-fn append(beat: Beat, entries: Vec<Entry>) -> Message {
+fn append(beat: Heartbeat, entries: Vec<Entry>) -> Message {
     Message::Append {
         beat,
         prev_index: 0,
