--- a/src/storage/error.rs
+++ b/src/storage/error.rs
@@ -1,69 +1,72 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why a data folder can't be used. The process must not vote from it.
+/// An error that makes a data folder unusable. The process must not vote from it.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 pub enum StorageError {
-    /// The operating system failed. After a failed write or sync it is not known
-    /// what is on the disk, so the process has to stop.
-    #[display("cannot {doing} {}: {source}; mend the disk, then start again", path.display())]
+    /// A file operation failed. After a failed write or sync the content of the disk is
+    /// unknown, so the process must stop.
+    #[display("cannot {operation} {}: {source}; repair the disk, then restart", path.display())]
     Io {
-        /// What was tried.
-        doing: &'static str,
-        /// On which file.
+        /// The failed operation, as a verb.
+        operation: &'static str,
+        /// The file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Bytes that were synced are not what was written.
+    /// Synced data differs from what was written, or is missing.
     #[display(
-        "{} is damaged at byte {offset_bytes}: {found}; \
-         move the whole data folder away and start again: \
-         the entry instance comes back empty and is repaired by the leader, \
-         as long as a quorum of the other voters is whole",
+        "{} is damaged at byte {offset_bytes}: {problem}; \
+         move the whole data folder away and restart: \
+         the entry instance starts empty and the leader repairs it, \
+         as long as a quorum of the other voters is intact",
         path.display()
     )]
     Damaged {
-        /// The file.
+        /// The damaged file.
         path: PathBuf,
-        /// Where, in bytes from its start.
+        /// Offset of the damage from the start of the file.
         offset_bytes: u64,
         /// What is wrong.
-        found: String,
+        problem: String,
     },
-    /// Another process uses the folder.
+    /// Another process has the folder open.
     #[display("{} is in use by another process; stop it first", path.display())]
     InUse {
         /// The lock file.
         path: PathBuf,
     },
-    /// A record or snapshot is larger than what would be read back.
+    /// A record or snapshot is too large to be read back.
     #[display(
         "a record or snapshot of {size_bytes} bytes is above the limit of {limit_bytes} bytes"
     )]
     TooLarge {
-        /// Its size.
+        /// Size of the record or snapshot.
         size_bytes: usize,
-        /// The limit.
+        /// The largest allowed size.
         limit_bytes: usize,
     },
 }
 
 impl StorageError {
-    pub(super) fn io(doing: &'static str, path: &std::path::Path) -> impl Fn(io::Error) -> Self {
+    pub(super) fn io(
+        operation: &'static str,
+        path: &std::path::Path,
+    ) -> impl Fn(io::Error) -> Self {
         let path = path.to_path_buf();
         move |source| Self::Io {
-            doing,
+            operation,
             path: path.clone(),
             source,
         }
     }
 
-    pub(super) fn damaged(path: &std::path::Path, offset_bytes: u64, found: &str) -> Self {
+    pub(super) fn damaged(path: &std::path::Path, offset_bytes: u64, problem: &str) -> Self {
         Self::Damaged {
             path: path.to_path_buf(),
             offset_bytes,
-            found: found.to_owned(),
+            problem: problem.to_owned(),
         }
     }
 }
--- a/src/storage/files.rs
+++ b/src/storage/files.rs
@@ -1,4 +1,4 @@
-//! Files of the data folder: replaced whole or not at all.
+//! File operations in the data folder. Files are replaced atomically.
 
 use std::fs::{self, File};
 use std::io::{ErrorKind, Read, Write};
@@ -6,20 +6,20 @@
 
 use super::StorageError;
 
-/// Begins the name of a file that is not finished yet.
-const UNFINISHED: &str = "unfinished-";
+/// Name prefix of temporary files, which a crash can leave behind.
+const TEMP_FILE_PREFIX: &str = "unfinished-";
 
-/// Makes the folder's list of files durable. Without it a file that was itself
-/// synced can be missing after a crash.
+/// Syncs the folder's directory entries. Without this, a file that was itself synced can
+/// be missing after a crash.
 pub(super) fn sync_folder(folder: &Path) -> Result<(), StorageError> {
     let opened = File::open(folder).map_err(StorageError::io("open", folder))?;
     opened.sync_all().map_err(StorageError::io("sync", folder))
 }
 
-/// Puts a file with these parts in place of the one at `path`, synced.
+/// Atomically replaces the file at `path` by one that consists of these parts, and syncs it.
 pub(super) fn replace(folder: &Path, path: &Path, parts: &[&[u8]]) -> Result<(), StorageError> {
     let mut file = tempfile::Builder::new()
-        .prefix(UNFINISHED)
+        .prefix(TEMP_FILE_PREFIX)
         .tempfile_in(folder)
         .map_err(StorageError::io("create a file in", folder))?;
     for part in parts {
@@ -33,7 +33,7 @@
     sync_folder(folder)
 }
 
-/// The file's bytes, none if there is no such file. Refuses one above
+/// Reads a file; returns `None` if it does not exist. Refuses a file that is larger than
 /// `limit_bytes`.
 pub(super) fn read(path: &Path, limit_bytes: u64) -> Result<Option<Vec<u8>>, StorageError> {
     let file = match File::open(path) {
@@ -46,18 +46,23 @@
         .read_to_end(&mut bytes)
         .map_err(StorageError::io("read", path))?;
     if bytes.len() as u64 > limit_bytes {
-        return Err(StorageError::damaged(path, limit_bytes, "it is too large"));
+        return Err(StorageError::damaged(
+            path,
+            limit_bytes,
+            "the file is too large",
+        ));
     }
     Ok(Some(bytes))
 }
 
-/// The names in the folder, in order. Removes what a crash left unfinished.
+/// Lists the file names in the folder in sorted order. Removes temporary files that a
+/// crash left behind.
 pub(super) fn list(folder: &Path) -> Result<Vec<String>, StorageError> {
     let mut names = Vec::new();
     for entry in fs::read_dir(folder).map_err(StorageError::io("list", folder))? {
         let entry = entry.map_err(StorageError::io("list", folder))?;
         let name = entry.file_name().to_string_lossy().into_owned();
-        if name.starts_with(UNFINISHED) {
+        if name.starts_with(TEMP_FILE_PREFIX) {
             let path = entry.path();
             fs::remove_file(&path).map_err(StorageError::io("remove", &path))?;
         } else {
--- a/src/storage/frame.rs
+++ b/src/storage/frame.rs
@@ -1,37 +1,37 @@
-//! How records lie in a segment: one frame for each synced write.
+//! The frame format of log segments: one frame for each synced write.
 //!
-//! A frame is written only after the one before it was synced. So whatever comes
-//! before an intact frame was synced too, and damage there is no torn write.
+//! A frame is written only after the previous one was synced. Everything before an
+//! intact frame was therefore synced, and damage there cannot be a torn write.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// `number` (8 bytes), length (4), checksum of the payload (4), checksum of the
-/// header so far (4), all little-endian.
+/// Size of a frame header: frame number (8 bytes), payload length (4), CRC-32 of the
+/// payload (4), CRC-32 of the header up to here (4), all little-endian.
 pub(super) const HEADER_BYTES: usize = 20;
 
-/// The largest payload. Larger writes are split; a wrong length can't ask for
-/// more memory than this.
-pub(super) const PAYLOAD_LIMIT_BYTES: usize = 4 << 20;
+/// The largest payload. Larger writes are split into several frames. It also bounds the
+/// memory that a corrupt length can request.
+pub(super) const MAX_PAYLOAD_BYTES: usize = 4 << 20;
 
-/// Blocks that a crash leaves unwritten read as zeros in at least this unit.
+/// Smallest unit that a crash leaves unwritten; unwritten sectors read as zeros.
 const SECTOR_BYTES: usize = 512;
 
-/// What stands at a place in a segment.
+/// The result of reading at an offset in a segment.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Read<'a> {
+pub(super) enum FrameRead<'a> {
     /// An intact frame.
     Frame {
         number: u64,
         payload: &'a [u8],
-        /// Its size with the header.
+        /// Size of the frame, including the header.
         bytes: usize,
     },
     /// The segment ends here.
     End,
-    /// Bytes as a crash in the middle of a write can leave them.
+    /// A partial frame, as a crash during a write can leave it.
     Torn,
-    /// Bytes that no crash leaves.
+    /// Damage that a crash during a write cannot explain.
     Damaged(&'static str),
 }
 
@@ -46,72 +46,76 @@
     out.extend_from_slice(payload);
 }
 
-/// Reads what stands at `at` in a segment.
-pub(super) fn read(segment: &[u8], at: usize) -> Read<'_> {
+/// Reads the frame at offset `at` in a segment.
+pub(super) fn read(segment: &[u8], at: usize) -> FrameRead<'_> {
     let bytes = &segment[at..];
     if bytes.is_empty() {
-        return Read::End;
+        return FrameRead::End;
     }
-    match intact(bytes) {
+    match parse_frame(bytes) {
         Some(frame) => frame,
-        None if later_frame(bytes) => Read::Damaged("a later write is whole, so this one was"),
-        None if whole_but_wrong(bytes, at) => {
-            Read::Damaged("all of it was written, yet it differs")
+        None if has_later_frame(bytes) => {
+            FrameRead::Damaged("an intact write follows, so this write was complete")
         }
-        None => Read::Torn,
+        None if is_complete_but_corrupt(bytes, at) => {
+            FrameRead::Damaged("the write is complete, but its checksum differs")
+        }
+        None => FrameRead::Torn,
     }
 }
 
-fn intact(bytes: &[u8]) -> Option<Read<'_>> {
-    let (number, length, checksum) = header(bytes)?;
+/// Parses the frame at the start of `bytes`, if it is intact.
+fn parse_frame(bytes: &[u8]) -> Option<FrameRead<'_>> {
+    let (number, length, checksum) = parse_header(bytes)?;
     let payload = bytes.get(HEADER_BYTES..HEADER_BYTES + length)?;
-    (crc32fast::hash(payload) == checksum).then_some(Read::Frame {
+    (crc32fast::hash(payload) == checksum).then_some(FrameRead::Frame {
         number,
         payload,
         bytes: HEADER_BYTES + length,
     })
 }
 
-/// Number, length and payload's checksum, if the header is intact.
-fn header(bytes: &[u8]) -> Option<(u64, usize, u32)> {
+/// Returns frame number, payload length and payload checksum, if the header is intact.
+fn parse_header(bytes: &[u8]) -> Option<(u64, usize, u32)> {
     let header = bytes.get(..HEADER_BYTES)?;
-    let word = |at: usize| header[at..at + 4].try_into().map(u32::from_le_bytes).ok();
-    if crc32fast::hash(&header[..16]) != word(16)? {
+    let read_u32 = |at: usize| header[at..at + 4].try_into().map(u32::from_le_bytes).ok();
+    if crc32fast::hash(&header[..16]) != read_u32(16)? {
         return None;
     }
-    let number = u64::from(word(0)?) | u64::from(word(4)?) << 32;
-    let length = word(8)? as usize;
-    (length <= PAYLOAD_LIMIT_BYTES).then_some((number, length, word(12)?))
+    let number = u64::from(read_u32(0)?) | u64::from(read_u32(4)?) << 32;
+    let length = read_u32(8)? as usize;
+    (length <= MAX_PAYLOAD_BYTES).then_some((number, length, read_u32(12)?))
 }
 
-fn later_frame(bytes: &[u8]) -> bool {
-    (1..bytes.len()).any(|at| intact(&bytes[at..]).is_some())
+/// Returns whether an intact frame starts anywhere after the first byte.
+fn has_later_frame(bytes: &[u8]) -> bool {
+    (1..bytes.len()).any(|at| parse_frame(&bytes[at..]).is_some())
 }
 
-/// Whether the last frame's bytes are all there, none left out by a crash, and
-/// still not what was written. Its synced entries may have been acknowledged, so
-/// to cut it would be to forget them.
-fn whole_but_wrong(bytes: &[u8], at: usize) -> bool {
-    let Some((_, length, _)) = header(bytes) else {
+/// Returns whether all bytes of a corrupt last frame are present, with no sector left
+/// unwritten by a crash. Its entries may have been synced and acknowledged, so truncating
+/// it could lose acknowledged entries.
+fn is_complete_but_corrupt(bytes: &[u8], at: usize) -> bool {
+    let Some((_, length, _)) = parse_header(bytes) else {
         return false;
     };
     let Some(frame) = bytes.get(..HEADER_BYTES + length) else {
         return false;
     };
-    // Up to the end of the sector in which the frame begins, then sector by sector.
+    // The rest of the sector in which the frame starts, then the sectors after it.
     let (first, rest) = frame.split_at((SECTOR_BYTES - at % SECTOR_BYTES).min(frame.len()));
-    let zeros = |sector: &[u8]| sector.iter().all(|b| *b == 0);
-    !zeros(first) && !rest.chunks(SECTOR_BYTES).any(zeros)
+    let is_zero = |sector: &[u8]| sector.iter().all(|b| *b == 0);
+    !is_zero(first) && !rest.chunks(SECTOR_BYTES).any(is_zero)
 }
 
 /// Encodes a value for a frame or a file.
 pub(super) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     bincode::serde::encode_to_vec(value, bincode::config::standard())
-        .expect("plain data, and a vector has no end to reach")
+        .expect("plain data always encodes, and a vector grows as needed")
 }
 
-/// Decodes one value; returns it with the number of bytes it took. `LIMIT` bounds
-/// the memory that wrong lengths can ask for.
+/// Decodes one value and returns it with the number of bytes read. `LIMIT` bounds the
+/// memory that corrupt lengths can request.
 pub(super) fn decode<T: DeserializeOwned, const LIMIT: usize>(
     bytes: &[u8],
 ) -> Result<(T, usize), String> {
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,10 +1,10 @@
-//! The data folder: where a voter keeps what it must not forget.
+//! The data folder, a voter's durable storage: a write-ahead log with snapshots.
 //!
-//! The folder holds `identity` (the incarnation drawn when the folder was
-//! created), `snapshot` (the latest one) and `log-N` segments of framed records.
-//! Synced means that file and folder are synced. A torn tail, left by a crash in
-//! the middle of a write that nobody was told of, is cut; anything else that does
-//! not add up is refused with file, offset and remedy, never skipped.
+//! The folder contains `identity` (the incarnation drawn when the folder was created),
+//! `snapshot` (the latest one) and `log-N` segments of framed records. A write counts as
+//! synced once both the file and the folder are synced. A torn tail, left by a crash
+//! during a write that was never acknowledged, is truncated. Any other inconsistency is
+//! an error that names file, offset and remedy; it is never skipped.
 
 mod disk;
 mod error;
--- a/src/storage/replay.rs
+++ b/src/storage/replay.rs
@@ -3,83 +3,96 @@
 
 use crate::consensus::{Record, Recovered};
 
-use super::frame::{self, PAYLOAD_LIMIT_BYTES, Read};
+use super::frame::{self, FrameRead, MAX_PAYLOAD_BYTES};
 use super::segment::Segment;
 use super::{StorageError, files};
 
-/// Rebuilds what the segments say, one after the other.
+/// Rebuilds the state of a data folder from its segments in order.
 #[derive(Debug)]
 pub(super) struct Replay {
     pub(super) recovered: Recovered,
-    /// The number of the next frame; none before the first segment.
-    pub(super) next_number: Option<u64>,
+    /// Expected number of the next frame; `None` before the first segment.
+    pub(super) next_frame_number: Option<u64>,
 }
 
 impl Replay {
     pub(super) fn new(recovered: Recovered) -> Self {
         Self {
             recovered,
-            next_number: None,
+            next_frame_number: None,
         }
     }
 
-    /// Reads one segment; `last` if none follows, so that it may be torn. Returns
-    /// its intact length in bytes.
-    pub(super) fn read(&mut self, segment: &mut Segment, last: bool) -> Result<u64, StorageError> {
+    /// Replays one segment and returns its intact length in bytes. Only the last segment
+    /// may have a torn tail.
+    pub(super) fn read_segment(
+        &mut self,
+        segment: &mut Segment,
+        is_last: bool,
+    ) -> Result<u64, StorageError> {
         let path = segment.path.clone();
-        let next = *self.next_number.get_or_insert(segment.first_number);
-        if next != segment.first_number {
+        let next = *self
+            .next_frame_number
+            .get_or_insert(segment.first_frame_number);
+        if next != segment.first_frame_number {
             return Err(StorageError::damaged(
                 &path,
                 0,
-                "a segment before it is gone",
+                "the segment before it is missing",
             ));
         }
-        let bytes = files::read(&path, Segment::LIMIT_BYTES)?.unwrap_or_default();
+        let bytes = files::read(&path, Segment::MAX_BYTES)?.unwrap_or_default();
         let mut at = 0;
         loop {
             match frame::read(&bytes, at) {
-                Read::Frame {
+                FrameRead::Frame {
                     number,
                     payload,
                     bytes,
                 } => {
-                    self.frame(segment, number, payload)
-                        .map_err(|found| StorageError::damaged(&path, at as u64, &found))?;
+                    self.replay_frame(segment, number, payload)
+                        .map_err(|problem| StorageError::damaged(&path, at as u64, &problem))?;
                     at += bytes;
                 }
-                Read::End => break,
-                Read::Torn if last => break,
-                Read::Torn => {
-                    let found = "it ends too early, yet a segment follows it";
-                    return Err(StorageError::damaged(&path, at as u64, found));
+                FrameRead::End => break,
+                FrameRead::Torn if is_last => break,
+                FrameRead::Torn => {
+                    let problem = "it ends in a partial write, but another segment follows";
+                    return Err(StorageError::damaged(&path, at as u64, problem));
                 }
-                Read::Damaged(found) => {
-                    return Err(StorageError::damaged(&path, at as u64, found));
+                FrameRead::Damaged(problem) => {
+                    return Err(StorageError::damaged(&path, at as u64, problem));
                 }
             }
         }
         Ok(at as u64)
     }
 
-    fn frame(&mut self, segment: &mut Segment, number: u64, payload: &[u8]) -> Result<(), String> {
-        let next = self.next_number.unwrap_or(number);
+    fn replay_frame(
+        &mut self,
+        segment: &mut Segment,
+        number: u64,
+        payload: &[u8],
+    ) -> Result<(), String> {
+        let next = self.next_frame_number.unwrap_or(number);
         if number != next {
-            return Err(format!("write {number} stands where write {next} belongs"));
+            return Err(format!(
+                "found write {number} where write {next} is expected"
+            ));
         }
-        self.next_number = Some(number + 1);
+        self.next_frame_number = Some(number + 1);
         let mut rest = payload;
         while !rest.is_empty() {
-            // The length in memory may be several times that in bytes.
-            let (record, used) = frame::decode::<Record, { 8 * PAYLOAD_LIMIT_BYTES }>(rest)?;
-            segment.note(&record);
-            self.record(record)?;
+            // A record can take several times its encoded size in memory.
+            let (record, used) = frame::decode::<Record, { 8 * MAX_PAYLOAD_BYTES }>(rest)?;
+            segment.observe(&record);
+            self.apply_record(record)?;
             rest = &rest[used..];
         }
         Ok(())
     }
 
-    fn record(&mut self, record: Record) -> Result<(), String> {
+    fn apply_record(&mut self, record: Record) -> Result<(), String> {
         match record {
             Record::Hard(hard) => self.recovered.hard = hard,
             Record::Truncate { from } => self.truncate(from),
@@ -87,14 +100,20 @@
                 self.truncate(entry.index);
                 let last = self.last_index();
                 if entry.index > last + 1 {
-                    return Err(format!("entry {} follows entry {last}", entry.index));
+                    return Err(format!(
+                        "entry {} follows entry {last}: entries between them are missing",
+                        entry.index
+                    ));
                 }
                 if entry.index > self.snapshot_index() {
                     self.recovered.entries.push(entry);
                 }
             }
             Record::Snapshot(_) | Record::Identity { .. } => {
-                return Err("a record that has a file of its own".to_owned());
+                return Err(
+                    "a snapshot or identity record is in the log; each has a file of its own"
+                        .to_owned(),
+                );
             }
         }
         Ok(())
@@ -116,13 +135,13 @@
     }
 }
 
-/// Cuts off what a crash left of a write that nobody was told of.
-pub(super) fn cut(path: &Path, length_bytes: u64) -> Result<(), StorageError> {
+/// Truncates the partial write that a crash left; it was never acknowledged.
+pub(super) fn truncate_file(path: &Path, length_bytes: u64) -> Result<(), StorageError> {
     let file = std::fs::OpenOptions::new()
         .write(true)
         .open(path)
         .map_err(StorageError::io("open", path))?;
     file.set_len(length_bytes)
-        .map_err(StorageError::io("cut", path))?;
+        .map_err(StorageError::io("truncate", path))?;
     file.sync_all().map_err(StorageError::io("sync", path))
 }
--- a/src/storage/segment.rs
+++ b/src/storage/segment.rs
@@ -2,40 +2,41 @@
 
 use crate::consensus::Record;
 
-/// Begins the name of a segment; the number of its first frame follows.
-const PREFIX: &str = "log-";
+/// Prefix of segment file names; the number of the first frame follows.
+const FILE_NAME_PREFIX: &str = "log-";
 
-/// One file of frames.
+/// A log file, which consists of consecutive frames.
 #[derive(Debug)]
 pub(super) struct Segment {
     pub(super) path: PathBuf,
-    pub(super) first_number: u64,
-    /// The highest index of an entry in it, 0 for none.
+    /// Number of the first frame.
+    pub(super) first_frame_number: u64,
+    /// The highest entry index in the segment; 0 without entries.
     pub(super) last_index: u64,
 }
 
 impl Segment {
-    /// A segment takes no further frame above this size.
-    pub(super) const FULL_BYTES: u64 = 8 << 20;
-    /// No segment is larger: a full one and the largest frame.
-    pub(super) const LIMIT_BYTES: u64 = 2 * Self::FULL_BYTES;
+    /// Size from which on further frames go to a new segment.
+    pub(super) const ROLL_THRESHOLD_BYTES: u64 = 8 << 20;
+    /// Bounds the size of a segment: the threshold plus the largest frame stays below it.
+    pub(super) const MAX_BYTES: u64 = 2 * Self::ROLL_THRESHOLD_BYTES;
 
-    pub(super) fn new(folder: &Path, first_number: u64) -> Self {
+    pub(super) fn new(folder: &Path, first_frame_number: u64) -> Self {
         Self {
-            path: folder.join(format!("{PREFIX}{first_number:020}")),
-            first_number,
+            path: folder.join(format!("{FILE_NAME_PREFIX}{first_frame_number:020}")),
+            first_frame_number,
             last_index: 0,
         }
     }
 
-    /// The segment with this file name, none if it names something else.
-    pub(super) fn named(folder: &Path, name: &str) -> Option<Self> {
-        let number = name.strip_prefix(PREFIX)?.parse().ok()?;
+    /// Returns the segment with this file name, or `None` if it is not a segment's name.
+    pub(super) fn from_file_name(folder: &Path, name: &str) -> Option<Self> {
+        let number = name.strip_prefix(FILE_NAME_PREFIX)?.parse().ok()?;
         Some(Self::new(folder, number))
     }
 
-    /// Notes a record that is in it.
-    pub(super) fn note(&mut self, record: &Record) {
+    /// Updates `last_index` for a record in this segment.
+    pub(super) fn observe(&mut self, record: &Record) {
         if let Record::Entry(entry) = record {
             self.last_index = self.last_index.max(entry.index);
         }
--- a/src/storage/worker.rs
+++ b/src/storage/worker.rs
@@ -5,44 +5,44 @@
 
 use super::{Disk, StorageError};
 
-/// Jobs that share one sync at most, so that the first is not kept waiting for
-/// long behind the bytes of the others.
-const SHARED_MAX: usize = 64;
+/// Bounds the jobs that share one sync, so that the first one does not wait long for the
+/// bytes of the others to be written.
+const MAX_JOBS_PER_SYNC: usize = 64;
 
-/// A write for the disk.
+/// A write job for the disk thread.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// Names the write in the answer.
+    /// Identifies the write in the completion callback.
     pub token: u64,
-    /// What to write.
+    /// The records to write.
     pub records: Vec<Record>,
 }
 
-/// Runs the disk in a thread of its own until the jobs' channel is closed.
+/// Runs the disk in its own thread until the channel of jobs is closed.
 ///
-/// All jobs that wait share one sync; `answer` gets the token of each, in order.
-/// After an error the thread ends with it: nothing more may be answered from this
-/// folder.
+/// Waiting jobs share one sync. `on_synced` is called with the token of each job, in order.
+/// After a failed write it is called with the error and the thread ends, because nothing
+/// more may be acknowledged from this folder.
 ///
 /// # Errors
-/// [`StorageError::Io`] if the thread can't be started.
+/// Returns [`StorageError::Io`] if the thread cannot be started.
 pub fn spawn(
     mut disk: Disk,
     jobs: Receiver<Job>,
-    mut answer: impl FnMut(Result<u64, StorageError>) + Send + 'static,
+    mut on_synced: impl FnMut(Result<u64, StorageError>) + Send + 'static,
 ) -> Result<JoinHandle<()>, StorageError> {
     let folder = disk.folder().to_path_buf();
     thread::Builder::new()
         .name("disk".to_owned())
         .spawn(move || {
             while let Ok(first) = jobs.recv() {
-                let more = jobs.try_iter().take(SHARED_MAX - 1);
-                let shared: Vec<Job> = std::iter::once(first).chain(more).collect();
-                let batches: Vec<&[Record]> = shared.iter().map(|j| &j.records[..]).collect();
+                let waiting = jobs.try_iter().take(MAX_JOBS_PER_SYNC - 1);
+                let batch: Vec<Job> = std::iter::once(first).chain(waiting).collect();
+                let batches: Vec<&[Record]> = batch.iter().map(|j| &j.records[..]).collect();
                 if let Err(error) = disk.persist(&batches) {
-                    return answer(Err(error));
+                    return on_synced(Err(error));
                 }
-                shared.iter().for_each(|job| answer(Ok(job.token)));
+                batch.iter().for_each(|job| on_synced(Ok(job.token)));
             }
         })
         .map_err(StorageError::io("start a thread for", &folder))
