--- a/tests/consensus_replica.rs
+++ b/tests/consensus_replica.rs
@@ -1,4 +1,5 @@
-//! One replica, message by message: the traps that schedules seldom hit.
+//! A single replica, driven message by message through cases that random schedules rarely
+//! reach.
 #![allow(missing_docs, clippy::unwrap_used)]
 
 use rand::{Rng, SeedableRng};
@@ -11,16 +12,16 @@
 
 const ELECTION_MS: u64 = 300;
 
-/// The incarnation of every folder here.
-const FOLDER: u64 = 7;
+/// Incarnation of every data folder in these tests.
+const INCARNATION: u64 = 7;
 
-/// Replica `me` of voters a, b and c with a folder that holds these entries, and
-/// learner d.
+/// Creates replica `me` with these entries in its data folder, in a cluster with voters a,
+/// b and c and learner d.
 fn replica(me: &str, entries: Vec<Entry>) -> Replica {
     replica_with(me, entries, 0)
 }
 
-/// The same, with a snapshot after so many entries.
+/// Same as [`replica`], with a snapshot after every `snapshot_every` entries.
 fn replica_with(me: &str, entries: Vec<Entry>, snapshot_every: u64) -> Replica {
     let settings = ReplicaSettings {
         me: me.into(),
@@ -33,7 +34,7 @@
         seed: 1,
     };
     let recovered = Recovered {
-        incarnation: Some(FOLDER),
+        incarnation: Some(INCARNATION),
         hard: HardState {
             term: entries.last().map_or(0, |e| e.term + 1),
             voted_for: None,
@@ -45,10 +46,10 @@
 }
 
 fn voters() -> Membership {
-    Membership::new(["a", "b", "c"].map(|n| (n.into(), FOLDER)).into())
+    Membership::new(["a", "b", "c"].map(|n| (n.into(), INCARNATION)).into())
 }
 
-/// Entries of term 1; the first names the voters.
+/// Entries of term 1, the first of which sets the membership.
 fn entries(count: u64) -> Vec<Entry> {
     let entry = |index| Entry {
         index,
@@ -59,7 +60,7 @@
     (1..=count).map(entry).collect()
 }
 
-fn from(peer: &str, message: Message) -> Input {
+fn message_from(peer: &str, message: Message) -> Input {
     let from = peer.into();
     Input::Message { from, message }
 }
@@ -89,7 +90,7 @@
         pre,
         last_index: 9,
         last_term: 1,
-        counted_as: FOLDER,
+        counted_as: INCARNATION,
     })
 }
 
@@ -129,7 +130,7 @@
     })
 }
 
-/// Handles the input, with a disk that syncs at once; returns what is sent.
+/// Handles the input with a disk that syncs at once; returns the messages sent.
 fn feed(replica: &mut Replica, now_ms: u64, input: Input) -> Vec<Message> {
     let mut sent = Vec::new();
     for action in replica.handle(now_ms, input) {
@@ -144,7 +145,7 @@
     sent
 }
 
-fn written(actions: &[Action]) -> &[Record] {
+fn persisted_records(actions: &[Action]) -> &[Record] {
     let records = actions.iter().find_map(|action| match action {
         Action::Persist { records, .. } => Some(&records[..]),
         _ => None,
@@ -152,25 +153,33 @@
     records.unwrap_or_default()
 }
 
-/// Has b ask for votes and a grant them, as terms go to lead in term 3. Nothing
-/// after the last vote is synced.
+/// Lets b campaign and a grant its votes, so that b leads in term 3. Nothing after the last
+/// vote is synced.
 fn elect(replica: &mut Replica) -> u64 {
     let at_ms = 2 * ELECTION_MS + 1;
     feed(replica, at_ms, Input::Tick);
-    feed(replica, at_ms, from("a", granted(true, FOLDER)));
-    feed(replica, at_ms, from("a", granted(false, FOLDER + 1)));
+    feed(
+        replica,
+        at_ms,
+        message_from("a", granted(true, INCARNATION)),
+    );
+    feed(
+        replica,
+        at_ms,
+        message_from("a", granted(false, INCARNATION + 1)),
+    );
     assert_eq!(
         replica.status(at_ms).role,
         Role::Candidate,
-        "another folder's vote"
+        "the vote of another data folder must not count"
     );
-    replica.handle(at_ms, from("a", granted(false, FOLDER)));
+    replica.handle(at_ms, message_from("a", granted(false, INCARNATION)));
     assert_eq!(replica.status(at_ms).role, Role::Leader);
     at_ms
 }
 
-/// Replica b leading in term 3 with two entries of term 1 that are not committed,
-/// and its own first one, all synced.
+/// Creates replica b as the leader of term 3, with two uncommitted entries of term 1 and the
+/// first entry of its own term, all synced.
 fn leader() -> (Replica, u64) {
     let mut replica = replica("b", entries(2));
     let at_ms = elect(&mut replica);
@@ -178,9 +187,8 @@
     (replica, at_ms)
 }
 
-/// A voter that answers before its disk has synced forgets in a crash what it
-/// said. Vote and acknowledgement come out only with the disk's word, and what is
-/// written is what they tell.
+/// Guards against votes and acknowledgements that a crash can lose: a voter must send them
+/// only after the sync, and must have written what they promise.
 #[test]
 fn nothing_is_answered_before_it_is_durable() {
     let mut replica = replica("b", Vec::new());
@@ -192,16 +200,16 @@
     let append = append(beat(2, None, 0), entries(1));
     for (message, token, record) in [(vote(2, false), 1, voted), (append, 2, entry)] {
         let at_ms = ELECTION_MS + 1;
-        let actions = replica.handle(at_ms, from("a", message));
+        let actions = replica.handle(at_ms, message_from("a", message));
         assert!(matches!(actions[..], [Action::Persist { token: t, .. }] if t == token));
-        assert_eq!(written(&actions).last(), Some(&record));
+        assert_eq!(persisted_records(&actions).last(), Some(&record));
         let actions = replica.handle(at_ms, Input::Persisted { token });
         assert!(matches!(actions[..], [Action::Send { .. }]));
     }
 }
 
-/// A cluster of one: its own vote alone elects it, so that vote must be synced
-/// before it leads.
+/// In a cluster of one, the replica's own vote is enough, so it must be synced before the
+/// replica leads.
 #[test]
 fn lone_voter_leads_once_its_vote_is_synced() {
     let mut first = entries(1);
@@ -214,53 +222,56 @@
     assert_eq!(replica.status(at_ms).role, Role::Leader);
 }
 
-/// A new leader has an entry of an earlier term on a quorum. A leader of a later
-/// term that another quorum may still elect could replace it, so it is committed
-/// only together with the new leader's first entry; and only by the word of the
-/// folders that the membership counts.
+/// A new leader has an entry of an earlier term on a quorum. A leader of a later term could
+/// still replace that entry, so it must commit only together with the new leader's first
+/// entry, and only on acknowledgements of data folders that the membership lists.
 #[test]
 fn earlier_terms_commit_only_under_the_own() {
     let (mut replica, at_ms) = leader();
-    for (incarnation, index, committed) in [(FOLDER, 2, 0), (FOLDER + 1, 3, 0), (FOLDER, 3, 3)] {
+    for (incarnation, index, committed) in [
+        (INCARNATION, 2, 0),
+        (INCARNATION + 1, 3, 0),
+        (INCARNATION, 3, 3),
+    ] {
         feed(
             &mut replica,
             at_ms,
-            from("a", reply(at_ms, Some(incarnation), index)),
+            message_from("a", reply(at_ms, Some(incarnation), index)),
         );
         assert_eq!(replica.status(at_ms).commit_index, committed);
     }
 }
 
-/// A voter answers from a new, empty folder. If it counted before it holds what is
-/// committed, it could elect a leader that lacks it. It is admitted with its new
-/// folder once it has caught up, and not a message sooner.
+/// A voter replies from a new, empty data folder. If it had a vote before it has all committed
+/// entries, it could elect a leader that lacks them. It must get its vote back only once it
+/// has caught up.
 #[test]
 fn repaired_voter_counts_once_it_caught_up() {
     let (mut replica, at_ms) = leader();
     feed(
         &mut replica,
         at_ms,
-        from("a", reply(at_ms, Some(FOLDER), 3)),
+        message_from("a", reply(at_ms, Some(INCARNATION), 3)),
     );
-    for (index, counted) in [(0, FOLDER), (2, FOLDER), (3, FOLDER + 1)] {
-        let message = reply(at_ms, Some(FOLDER + 1), index);
-        feed(&mut replica, at_ms, from("c", message));
+    for (index, counted) in [(0, INCARNATION), (2, INCARNATION), (3, INCARNATION + 1)] {
+        let message = reply(at_ms, Some(INCARNATION + 1), index);
+        feed(&mut replica, at_ms, message_from("c", message));
         let states = replica.status(at_ms).voter_states;
         assert_eq!(states["c"].incarnation, counted);
     }
 }
 
-/// One of three voters is dead and an operator removes one of the two that live.
-/// The dead one and the last would then have to agree: nothing could ever be
-/// committed again, not even the removal. It waits; removing the dead one does
-/// not. (Random schedules, seed 3972 of 5000, found five with two lost.)
+/// One of three voters is down and an operator removes one of the other two. The remaining
+/// quorum would need the voter that is down, so nothing could be committed again, not even
+/// the removal. It must wait, while removing the voter that is down must not. Random
+/// schedules found this with seed 3972 of 5000, for five voters with two lost.
 #[test]
 fn removal_that_leaves_no_quorum_waits() {
     let (mut replica, at_ms) = leader();
     feed(
         &mut replica,
         at_ms,
-        from("a", reply(at_ms, Some(FOLDER), 3)),
+        message_from("a", reply(at_ms, Some(INCARNATION), 3)),
     );
     for (voter, left) in [("a", 3), ("c", 2)] {
         let change = VoterChange::Remove(voter.into());
@@ -269,22 +280,22 @@
     }
 }
 
-/// A voter's last entry is one of an earlier leader, not the present one's, in the
-/// same term as entries that do match. It asks to go back before all of that term,
-/// further than it acknowledged. Taken for a late message and ignored, that would
-/// leave the voter behind for good (random schedules, seed 4053 of 5000); the
-/// leader tries where the acknowledged entries end.
+/// A voter's last entry conflicts with the leader's log and has the same term as earlier
+/// entries that match. The voter reports a conflict before all entries of that term, which is
+/// before the index it has acknowledged. If the leader ignored that as a late message, the
+/// voter would stay behind for good (random schedules, seed 4053 of 5000). The leader must
+/// retry at the acknowledged index.
 #[test]
 fn conflict_before_the_match_is_tried_at_the_match() {
     let (mut replica, at_ms) = leader();
     feed(
         &mut replica,
         at_ms,
-        from("a", reply(at_ms, Some(FOLDER), 2)),
+        message_from("a", reply(at_ms, Some(INCARNATION), 2)),
     );
     let outcome = ReplyOutcome::Conflict { index: 0 };
-    let message = reply_with(at_ms, Some(FOLDER), outcome);
-    let sent = feed(&mut replica, at_ms, from("a", message));
+    let message = reply_with(at_ms, Some(INCARNATION), outcome);
+    let sent = feed(&mut replica, at_ms, message_from("a", message));
     let [
         Message::Append {
             prev_index: 2,
@@ -298,9 +309,9 @@
     assert_eq!(entries.len(), 1);
 }
 
-/// A learner's view counts as recent by the leader's word. A leader that has not
-/// heard a quorum yet, or no more (its process was frozen, and a command is the
-/// first thing it handles), may have been replaced: it gives no such word.
+/// A learner's state counts as recent if the leader has granted it a view lease. A leader that
+/// has not heard from a quorum yet, or no longer does, may have been replaced and must grant
+/// none. The latter occurs when its process was frozen and handles a command first.
 #[test]
 fn leader_without_a_quorum_grants_no_lease() {
     let (mut replica, at_ms) = leader();
@@ -311,13 +322,17 @@
         assert!(!sent.is_empty());
         sent.iter().any(heard)
     };
-    feed(&mut replica, at_ms, from("d", reply(at_ms, None, 3)));
+    feed(
+        &mut replica,
+        at_ms,
+        message_from("d", reply(at_ms, None, 3)),
+    );
     assert!(!grants(at_ms, &mut replica));
     let soon_ms = at_ms + 60;
     feed(
         &mut replica,
         soon_ms,
-        from("a", reply(soon_ms, Some(FOLDER), 3)),
+        message_from("a", reply(soon_ms, Some(INCARNATION), 3)),
     );
     assert!(grants(soon_ms, &mut replica));
     let frozen_ms = soon_ms + ELECTION_MS;
@@ -325,15 +340,15 @@
     assert!(!replica.status(frozen_ms).fresh);
 }
 
-/// An entry instance restarted; its clock began anew. A leader's message that
-/// answers the start before says nothing about the view of this one. And one that
-/// shows it behind the leader's commits makes its view no recent one either.
+/// An entry instance restarts with a new clock. A leader's message that echoes a timestamp of
+/// the previous start must not renew its view lease, nor must one that shows that the
+/// instance lacks committed entries.
 #[test]
 fn view_is_confirmed_only_for_this_start_and_all_commits() {
     let mut replica = replica("b", Vec::new());
     let now_ms = 1_000;
     let message = append(beat(1, None, 0), vec![]);
-    let sent = feed(&mut replica, now_ms, from("a", message));
+    let sent = feed(&mut replica, now_ms, message_from("a", message));
     let [Message::Reply(Reply { stamp, .. })] = sent[..] else {
         panic!("{sent:?}");
     };
@@ -341,51 +356,50 @@
     let other = Stamp { start, ..stamp };
     for (heard, commit_index, fresh) in [(other, 0, false), (stamp, 1, false), (stamp, 0, true)] {
         let message = append(beat(1, Some(heard), commit_index), vec![]);
-        feed(&mut replica, now_ms, from("a", message));
+        feed(&mut replica, now_ms, message_from("a", message));
         assert_eq!(replica.status(now_ms).fresh, fresh);
     }
 }
 
-/// A voter with a tail that was never committed gets a snapshot of another
-/// history. After a crash the tail must not stand behind the snapshot as if it
-/// followed from it, so it is voided first. And when the voter leads next, it must
-/// not count the void entries as its own copy of new ones that are not synced.
+/// A voter with an uncommitted tail installs a snapshot of a conflicting history. After a crash
+/// the tail must not follow the snapshot, so it must be truncated first. When the voter leads
+/// next, it must not count the truncated entries as synced copies of new ones.
 #[test]
 fn installed_snapshot_voids_the_tail() {
     let mut replica = replica("b", entries(5));
-    let actions = replica.handle(0, from("a", chunk()));
-    let records = written(&actions);
+    let actions = replica.handle(0, message_from("a", chunk()));
+    let records = persisted_records(&actions);
     assert_eq!(records[0], Record::Truncate { from: 4 });
     assert!(matches!(records[1..], [Record::Snapshot(_)]));
     replica.handle(0, Input::Persisted { token: 1 });
     let at_ms = elect(&mut replica);
-    replica.handle(at_ms, from("a", reply(at_ms, Some(FOLDER), 4)));
+    replica.handle(at_ms, message_from("a", reply(at_ms, Some(INCARNATION), 4)));
     assert_eq!(replica.status(at_ms).commit_index, 3);
     replica.handle(at_ms, Input::Persisted { token: 3 });
     assert_eq!(replica.status(at_ms).commit_index, 4);
 }
 
-/// The founder lost its disk after the others had said that they were empty. It
-/// asks again under its new incarnation; answers to its first question come late.
-/// One of them may have voted since, so only answers to this question count.
+/// The founder loses its disk after the other voters have replied that they are empty, and asks
+/// again under its new incarnation. Late replies to its first question must not count,
+/// because a voter may have voted since.
 #[test]
 fn answers_to_an_earlier_founder_do_not_count() {
     let mut replica = replica("a", Vec::new());
-    for (founder, created) in [(FOLDER + 1, false), (FOLDER, true)] {
+    for (founder, created) in [(INCARNATION + 1, false), (INCARNATION, true)] {
         for peer in ["b", "c"] {
             let message = Message::FoundReply {
                 founder,
-                incarnation: FOLDER,
+                incarnation: INCARNATION,
                 empty: true,
             };
-            feed(&mut replica, 0, from(peer, message));
+            feed(&mut replica, 0, message_from(peer, message));
         }
         assert_eq!(replica.status(0).voters.len() == 3, created);
     }
 }
 
-/// Guards against: one that led and stepped down leads again in the same term, whose
-/// followers no longer take its messages and whose fencing token was used before.
+/// Guards against a former leader that leads again in the same term: its followers would refuse
+/// its messages, and its fencing token would have been used before.
 #[test]
 fn a_late_vote_makes_no_leader_of_the_same_term_again() {
     let steps_down: [fn(&mut Replica, u64) -> u64; 2] = [
@@ -403,30 +417,41 @@
         let (mut replica, at_ms) = leader();
         let at_ms = step_down(&mut replica, at_ms);
         assert_eq!(replica.status(at_ms).role, Role::Follower);
-        feed(&mut replica, at_ms, from("c", granted(false, FOLDER)));
+        feed(
+            &mut replica,
+            at_ms,
+            message_from("c", granted(false, INCARNATION)),
+        );
         assert_eq!(replica.status(at_ms).role, Role::Follower);
     }
 }
 
-/// Guards against: votes that come after the candidate began to ask again are thrown away,
-/// and on starved machines no round is ever won.
+/// Guards against discarding votes that arrive after the candidate has started another
+/// pre-vote round: on overloaded machines no election would ever succeed.
 #[test]
 fn a_vote_counts_for_as_long_as_its_term_lasts() {
     let mut replica = replica("b", entries(2));
     let at_ms = 2 * ELECTION_MS + 1;
     feed(&mut replica, at_ms, Input::Tick);
-    feed(&mut replica, at_ms, from("a", granted(true, FOLDER)));
+    feed(
+        &mut replica,
+        at_ms,
+        message_from("a", granted(true, INCARNATION)),
+    );
     let later_ms = at_ms + 2 * ELECTION_MS;
     feed(&mut replica, later_ms, Input::Tick);
     assert_eq!(replica.status(later_ms).role, Role::Candidate);
-    feed(&mut replica, later_ms, from("a", granted(false, FOLDER)));
+    feed(
+        &mut replica,
+        later_ms,
+        message_from("a", granted(false, INCARNATION)),
+    );
     assert_eq!(replica.status(later_ms).role, Role::Leader);
     assert_eq!(replica.status(later_ms).term, 3);
 }
 
-/// A peer of another version, or a fault on the way that no checksum caught, sends
-/// anything at all. The replica may refuse it or be misled about its peer, but
-/// the process must not end.
+/// A peer of another version, or corruption that no checksum detects, can produce any message.
+/// The replica may refuse it or get a wrong view of its peer, but must not panic.
 #[test]
 fn altered_messages_do_not_end_the_process() {
     let config = bincode::config::standard().with_limit::<{ 1 << 20 }>();
@@ -434,17 +459,17 @@
     let mut samples = vec![
         vote(4, true),
         vote(4, false),
-        granted(true, FOLDER),
+        granted(true, INCARNATION),
         chunk(),
     ];
-    samples.push(reply(600, Some(FOLDER), 3));
+    samples.push(reply(600, Some(INCARNATION), 3));
     samples.push(append(
         beat(3, Some(Stamp { start: 1, at_ms: 5 }), 1),
         entries(3),
     ));
     let mut decoded = 0;
     for round in 0..2_000 {
-        let mut victim = if round % 2 == 0 {
+        let mut target = if round % 2 == 0 {
             leader().0
         } else {
             replica("b", entries(5))
@@ -452,29 +477,29 @@
         for at_ms in 601..621 {
             let sample = &samples[rng.random_range(0..samples.len())];
             let mut bytes = bincode::serde::encode_to_vec(sample, config).unwrap();
-            let place = rng.random_range(0..bytes.len());
-            bytes[place] = rng.random();
+            let position = rng.random_range(0..bytes.len());
+            bytes[position] = rng.random();
             let Ok((message, _)) = bincode::serde::decode_from_slice(&bytes, config) else {
                 continue;
             };
             decoded += 1;
-            feed(&mut victim, at_ms, from("a", message));
-            feed(&mut victim, at_ms, Input::Tick);
-            victim.status(at_ms);
+            feed(&mut target, at_ms, message_from("a", message));
+            feed(&mut target, at_ms, Input::Tick);
+            target.status(at_ms);
         }
     }
     assert!(decoded > 20_000, "{decoded}");
 }
 
-/// A state above the limit of a snapshot makes the whole site slow: none was taken then, and
-/// each entry that was applied asked for another. A state of this size takes longer to encode
-/// than a leader may be silent. The next try waits for as many entries as any other.
+/// Guards against encoding a state that is too large for a snapshot again at each applied
+/// entry. Encoding a state of this size takes longer than a leader may be silent, so the whole
+/// site became slow. The next attempt must wait for as many entries as any other snapshot.
 #[test]
 fn a_snapshot_that_is_too_large_is_not_asked_for_at_each_entry() {
     const EVERY: u64 = 10;
     const TOO_LARGE_BYTES: usize = (64 << 20) + 1;
     let mut replica = replica_with("a", entries(3 * EVERY), EVERY);
-    let mut asked = Vec::new();
+    let mut requested = Vec::new();
     for index in 1..=3 * EVERY {
         let message = Message::Append {
             beat: beat(2, None, index),
@@ -482,12 +507,12 @@
             prev_term: 1,
             entries: Vec::new(),
         };
-        let actions = replica.handle(index, from("b", message));
+        let actions = replica.handle(index, message_from("b", message));
         if actions.iter().any(|a| matches!(a, Action::TakeSnapshot)) {
-            asked.push(index);
+            requested.push(index);
             let data = vec![0; TOO_LARGE_BYTES];
             replica.handle(index, Input::SnapshotTaken { index, data });
         }
     }
-    assert_eq!(asked, [EVERY, 2 * EVERY, 3 * EVERY]);
+    assert_eq!(requested, [EVERY, 2 * EVERY, 3 * EVERY]);
 }
--- a/tests/consensus_world/mod.rs
+++ b/tests/consensus_world/mod.rs
@@ -1,5 +1,5 @@
-//! Replicas without a network: one thread, simulated time, seeded faults, and
-//! the invariants checked after every input.
+//! A deterministic simulation of a cluster of replicas: one thread, simulated time, and
+//! faults from a seeded random generator. Checks the invariants after every input.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,26 +12,27 @@
 };
 use rosemarygauge::model::EntryName;
 
-/// What is drawn at random for each message.
+/// Network and disk conditions, applied at random to each message and write.
 #[derive(Clone, Copy, Default)]
-pub struct Net {
+pub struct Network {
     pub lost_percent: u32,
-    pub doubled_percent: u32,
+    pub duplicated_percent: u32,
     pub delay_max_ms: u64,
-    /// Longest time that a write takes to be synced; 0 for [`SYNC_MAX_MS`].
+    /// Longest duration of a synced write; 0 for [`SYNC_MAX_MS`].
     pub sync_max_ms: u64,
 }
 
-/// How long writes take to be synced, at most, on a healthy disk.
+/// Longest duration of a synced write on a healthy disk.
 const SYNC_MAX_MS: u64 = 7;
 
 struct Node {
     replica: Replica,
-    /// What the disk holds, synced; none without a folder.
+    /// Synced content of the disk; `None` without a data folder.
     disk: Option<Recovered>,
+    /// The write in flight: completion time, token and records.
     writing: Option<(u64, u64, Vec<Record>)>,
-    /// This start's clock begins elsewhere than the others'.
-    clock_ms: u64,
+    /// Clock offset of this start; it differs between starts and instances.
+    clock_offset_ms: u64,
     applied: u64,
     state: u64,
 }
@@ -41,21 +42,24 @@
 pub struct World {
     pub now_ms: u64,
     pub rng: ChaCha8Rng,
-    pub net: Net,
-    pub cut: BTreeSet<(EntryName, EntryName)>,
+    pub network: Network,
+    pub cut_links: BTreeSet<(EntryName, EntryName)>,
     pub down: BTreeSet<EntryName>,
     pub membership: Membership,
-    /// The state after each committed entry: a hash over all up to it.
+    /// The state after each committed entry: a hash of all entries up to it.
     pub history: Vec<u64>,
     pub snapshots_sent: u64,
     pub writes: u64,
-    /// Voters whose removal was asked for at some time.
-    removing: BTreeSet<EntryName>,
-    lost_ms: u64,
+    /// Voters whose removal was requested at any time.
+    requested_removals: BTreeSet<EntryName>,
+    /// Time of the last disk loss.
+    disk_lost_ms: u64,
     voters: Vec<EntryName>,
     nodes: BTreeMap<EntryName, Node>,
-    flying: BTreeMap<(u64, u64), (EntryName, EntryName, Message)>,
+    /// Messages in flight by arrival time and number: sender, receiver and message.
+    in_flight: BTreeMap<(u64, u64), (EntryName, EntryName, Message)>,
     sent: u64,
+    /// The leader of each term.
     leaders: BTreeMap<u64, EntryName>,
 }
 
@@ -63,34 +67,34 @@
 pub const LEASE_MS: u64 = 250;
 
 impl World {
-    /// `voters` first voters (a, b, c ...), `spare` more with a folder, and
-    /// `learners` without.
+    /// Creates a cluster of `voters` initial voters (a, b, c ...), `spare` more instances
+    /// with a data folder, and `learners` without one.
     pub fn new(seed: u64, voters: usize, spare: usize, learners: usize) -> Self {
         let names: Vec<EntryName> = ('a'..='z').map(|c| c.to_string().into()).collect();
         let mut world = Self {
             now_ms: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            net: Net {
+            network: Network {
                 delay_max_ms: 2,
-                ..Net::default()
+                ..Network::default()
             },
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             down: BTreeSet::new(),
             membership: Membership::default(),
             history: vec![0],
             snapshots_sent: 0,
             writes: 0,
-            removing: BTreeSet::new(),
-            lost_ms: 0,
+            requested_removals: BTreeSet::new(),
+            disk_lost_ms: 0,
             voters: names[..voters].to_vec(),
             nodes: BTreeMap::new(),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
             leaders: BTreeMap::new(),
         };
         let all = &names[..voters + spare + learners];
-        for (place, name) in all.iter().enumerate() {
-            let disk = (place < voters + spare).then(|| world.empty_disk());
+        for (position, name) in all.iter().enumerate() {
+            let disk = (position < voters + spare).then(|| world.empty_disk());
             world.start(name, disk, all);
         }
         world
@@ -114,13 +118,13 @@
             snapshot_every: 20,
             seed: self.rng.random(),
         };
-        let clock_ms = self.rng.random_range(0..10_000);
+        let clock_offset_ms = self.rng.random_range(0..10_000);
         let recovered = disk.clone().unwrap_or_default();
         let node = Node {
-            replica: Replica::new(settings, recovered, clock_ms + self.now_ms),
+            replica: Replica::new(settings, recovered, clock_offset_ms + self.now_ms),
             disk,
             writing: None,
-            clock_ms,
+            clock_offset_ms,
             applied: 0,
             state: 0,
         };
@@ -132,7 +136,7 @@
         self.nodes.keys().cloned().collect()
     }
 
-    /// Kills the process: of what was not synced, a part may have reached the disk.
+    /// Kills the process. A random prefix of the records in flight reaches the disk.
     pub fn kill(&mut self, name: &EntryName) {
         let node = self.nodes.get_mut(name).unwrap();
         if let (Some(disk), Some((_, _, records))) = (&mut node.disk, node.writing.take()) {
@@ -154,7 +158,7 @@
         self.nodes[name].disk.clone().unwrap()
     }
 
-    /// Restarts it with this in its data folder.
+    /// Restarts the instance with this content of its data folder.
     pub fn restart_with(&mut self, name: &EntryName, disk: Recovered) {
         self.kill(name);
         self.start(name, Some(disk), &self.names());
@@ -162,28 +166,31 @@
 
     pub fn lose_disk(&mut self, name: &EntryName) {
         let disk = self.empty_disk();
-        self.lost_ms = self.now_ms;
+        self.disk_lost_ms = self.now_ms;
         self.restart_with(name, disk);
     }
 
-    /// Whether the voters still have a quorum of whole folders without this one. A
-    /// change of the voters must not be under way, and a removal that was asked for
-    /// counts as done: it and two lost disks of five are three faults, after which
+    /// Returns whether the voters still have a quorum of intact data folders without this
+    /// one. No change of the voters may be in flight, and a requested removal counts as
+    /// done: together with two lost disks of five it makes three faults, after which
     /// neither the old nor the new voters have a quorum.
-    pub fn may_lose_disk(&self, name: &EntryName) -> bool {
+    pub fn can_lose_disk(&self, name: &EntryName) -> bool {
         let settled = self.leader().is_some_and(|leader| {
             let states = self.status(&leader).voter_states;
             let voters = states.into_iter().map(|(n, s)| (n, s.incarnation));
             Membership::new(voters.collect()) == self.membership
         });
-        let without = self.removing.iter().map(|r| self.membership.without(r));
+        let without = self
+            .requested_removals
+            .iter()
+            .map(|r| self.membership.without(r));
         let mut voters = without.chain([self.membership.clone()]);
-        let survives = voters.all(|v| self.whole(&v.without(name)) >= v.quorum());
-        settled && survives && self.may_hold_disk(name)
+        let survives = voters.all(|v| self.count_intact_folders(&v.without(name)) >= v.quorum());
+        settled && survives && self.has_disk(name)
     }
 
-    /// How many of the voters have the folder that counts.
-    fn whole(&self, voters: &Membership) -> usize {
+    /// Returns how many of the voters have the data folder that the membership lists.
+    fn count_intact_folders(&self, voters: &Membership) -> usize {
         let folder = |n: &EntryName| self.nodes[n].disk.as_ref().and_then(|d| d.incarnation);
         voters
             .iter()
@@ -191,55 +198,57 @@
             .count()
     }
 
-    /// Asks for a removal, unless a disk was lost so lately that the leader can't
-    /// know yet that the rest has no quorum.
-    pub fn remove(&mut self, at: &EntryName, name: EntryName) {
+    /// Requests the removal of a voter, unless the remaining voters have no quorum because
+    /// of a disk loss that is too recent for the leader to know of.
+    pub fn request_removal(&mut self, at: &EntryName, name: EntryName) {
         let left = self.membership.without(&name);
-        if self.whole(&left) >= left.quorum() || self.now_ms > self.lost_ms + ELECTION_MS {
-            self.removing.insert(name.clone());
+        if self.count_intact_folders(&left) >= left.quorum()
+            || self.now_ms > self.disk_lost_ms + ELECTION_MS
+        {
+            self.requested_removals.insert(name.clone());
             let change = VoterChange::Remove(name);
             self.input(at, Input::ChangeVoters { change });
         }
     }
 
-    pub fn may_hold_disk(&self, name: &EntryName) -> bool {
+    pub fn has_disk(&self, name: &EntryName) -> bool {
         self.nodes[name].disk.is_some()
     }
 
-    /// Ends all faults.
+    /// Ends all faults and restarts the instances that are down.
     pub fn heal(&mut self) {
-        self.cut.clear();
-        self.net = Net {
+        self.cut_links.clear();
+        self.network = Network {
             delay_max_ms: 2,
-            ..Net::default()
+            ..Network::default()
         };
         for name in self.down.clone() {
             self.restart(&name);
         }
     }
 
-    /// Cuts this side off from the rest, both ways.
-    pub fn split(&mut self, side: &[EntryName]) {
+    /// Cuts all links between these instances and the others, in both directions.
+    pub fn partition(&mut self, side: &[EntryName]) {
         for a in self.names() {
             for b in self.names() {
                 if side.contains(&a) != side.contains(&b) {
-                    self.cut.insert((a.clone(), b));
+                    self.cut_links.insert((a.clone(), b));
                 }
             }
         }
     }
 
-    /// Cuts the entry instance off from all others, both ways.
+    /// Cuts all links of the entry instance, in both directions.
     pub fn isolate(&mut self, name: &EntryName) {
-        self.split(std::slice::from_ref(name));
+        self.partition(std::slice::from_ref(name));
     }
 
     pub fn status(&self, name: &EntryName) -> Status {
         let node = &self.nodes[name];
-        node.replica.status(node.clock_ms + self.now_ms)
+        node.replica.status(node.clock_offset_ms + self.now_ms)
     }
 
-    /// The leader of the highest term that is up.
+    /// Returns the running leader with the highest term.
     pub fn leader(&self) -> Option<EntryName> {
         let up = self.nodes.keys().filter(|n| !self.down.contains(*n));
         let leads = up.filter(|n| self.status(n).role == Role::Leader);
@@ -256,37 +265,42 @@
             return;
         }
         let node = self.nodes.get_mut(name).unwrap();
-        let actions = node.replica.handle(node.clock_ms + self.now_ms, input);
+        let actions = node
+            .replica
+            .handle(node.clock_offset_ms + self.now_ms, input);
         for action in actions {
-            self.act(name, action);
+            self.perform(name, action);
         }
         self.check_leaders(name);
     }
 
-    fn act(&mut self, name: &EntryName, action: Action) {
+    fn perform(&mut self, name: &EntryName, action: Action) {
         match action {
             Action::Send { to, message } => self.send(name, to, message),
             Action::Persist { token, records } => {
                 let at_ms = self.now_ms
                     + self
                         .rng
-                        .random_range(1..=self.net.sync_max_ms.max(SYNC_MAX_MS));
+                        .random_range(1..=self.network.sync_max_ms.max(SYNC_MAX_MS));
                 let node = self.nodes.get_mut(name).unwrap();
-                assert!(node.writing.is_none(), "one write at a time");
+                assert!(node.writing.is_none(), "more than one write in flight");
                 node.writing = Some((at_ms, token, records));
                 self.writes += 1;
             }
             Action::Apply { entries } => entries.iter().for_each(|e| self.apply(name, e)),
             Action::Restore { index, data } => {
                 let state = u64::from_le_bytes(data[..8].try_into().unwrap());
-                assert_eq!(state, self.history[index as usize], "snapshot at {name}");
+                assert_eq!(
+                    state, self.history[index as usize],
+                    "wrong state in the snapshot at {name}"
+                );
                 let node = self.nodes.get_mut(name).unwrap();
                 (node.applied, node.state) = (index, state);
             }
             Action::TakeSnapshot => {
                 let node = &self.nodes[name];
                 let (index, mut data) = (node.applied, node.state.to_le_bytes().to_vec());
-                // Large enough for several pieces now and then.
+                // Every third snapshot is large enough for several chunks.
                 data.resize(if index % 3 == 0 { 600 << 10 } else { 8 }, 0);
                 self.input(name, Input::SnapshotTaken { index, data });
             }
@@ -295,7 +309,7 @@
 
     fn apply(&mut self, name: &EntryName, entry: &Entry) {
         let node = self.nodes.get_mut(name).unwrap();
-        assert_eq!(entry.index, node.applied + 1, "no gap at {name}");
+        assert_eq!(entry.index, node.applied + 1, "entries skipped at {name}");
         let mut hasher = DefaultHasher::new();
         (node.state, entry.term, &entry.command).hash(&mut hasher);
         (node.applied, node.state) = (entry.index, hasher.finish());
@@ -315,37 +329,37 @@
             assert!(data.len() < 1 << 20);
             self.snapshots_sent += 1;
         }
-        let copies = u64::from(self.rng.random_range(0..100) >= self.net.lost_percent)
-            + u64::from(self.rng.random_range(0..100) < self.net.doubled_percent);
+        let copies = u64::from(self.rng.random_range(0..100) >= self.network.lost_percent)
+            + u64::from(self.rng.random_range(0..100) < self.network.duplicated_percent);
         for _ in 0..copies {
-            let at_ms = self.now_ms + self.rng.random_range(1..=self.net.delay_max_ms);
+            let at_ms = self.now_ms + self.rng.random_range(1..=self.network.delay_max_ms);
             self.sent += 1;
-            let flight = (from.clone(), to.clone(), message.clone());
-            self.flying.insert((at_ms, self.sent), flight);
+            let packet = (from.clone(), to.clone(), message.clone());
+            self.in_flight.insert((at_ms, self.sent), packet);
         }
     }
 
-    /// Lets one millisecond pass.
+    /// Advances the simulation by one millisecond.
     pub fn step(&mut self) {
         self.now_ms += 1;
-        while let Some(entry) = self.flying.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now_ms {
                 break;
             }
             let (from, to, message) = entry.remove();
-            if !self.cut.contains(&(from.clone(), to.clone())) {
+            if !self.cut_links.contains(&(from.clone(), to.clone())) {
                 self.input(&to, Input::Message { from, message });
             }
         }
         for name in self.names() {
-            self.sync(&name);
+            self.complete_write(&name);
             if self.now_ms.is_multiple_of(10) {
                 self.input(&name, Input::Tick);
             }
         }
     }
 
-    fn sync(&mut self, name: &EntryName) {
+    fn complete_write(&mut self, name: &EntryName) {
         let node = self.nodes.get_mut(name).unwrap();
         let due = node.writing.take_if(|(at, ..)| *at <= self.now_ms);
         let Some((_, token, records)) = due else {
@@ -356,28 +370,38 @@
         self.input(name, Input::Persisted { token });
     }
 
-    pub fn run(&mut self, for_ms: u64) {
-        (0..for_ms).for_each(|_| self.step());
+    pub fn run_for(&mut self, duration_ms: u64) {
+        (0..duration_ms).for_each(|_| self.step());
     }
 
-    /// Steps until it holds; panics after `limit_ms`.
-    pub fn until(&mut self, what: &str, limit_ms: u64, holds: impl Fn(&Self) -> bool) -> u64 {
+    /// Steps until the condition holds; panics after `limit_ms`. Returns the simulated
+    /// time that passed.
+    pub fn run_until(
+        &mut self,
+        what: &str,
+        limit_ms: u64,
+        condition: impl Fn(&Self) -> bool,
+    ) -> u64 {
         let from_ms = self.now_ms;
-        while !holds(self) {
+        while !condition(self) {
             self.step();
-            assert!(self.now_ms < from_ms + limit_ms, "{what} in {limit_ms} ms");
+            assert!(
+                self.now_ms < from_ms + limit_ms,
+                "not within {limit_ms} ms: {what}"
+            );
         }
         self.now_ms - from_ms
     }
 
-    /// All are up, hold all that is committed, and every voter counts.
+    /// Returns whether all replicas have applied all committed entries and every voter has
+    /// the data folder that the membership lists.
     pub fn converged(&self) -> bool {
         let last = self.history.len() as u64 - 1;
-        let whole = self.leader().is_some_and(|leader| {
+        let voters_intact = self.leader().is_some_and(|leader| {
             let states = self.status(&leader).voter_states;
             !states.is_empty() && states.values().all(|s| s.counts)
         });
-        whole && self.nodes.values().all(|n| n.applied == last)
+        voters_intact && self.nodes.values().all(|n| n.applied == last)
     }
 
     fn check_leaders(&mut self, name: &EntryName) {
@@ -390,15 +414,18 @@
         if !status.fresh {
             return;
         }
-        let clock_ms = self.nodes[name].clock_ms + self.now_ms;
+        let clock_ms = self.nodes[name].clock_offset_ms + self.now_ms;
         for (peer, lease_end_ms) in &status.peers_lease_end_ms {
             let theirs = self.status(peer);
             let fresh = theirs.fresh && !self.down.contains(peer);
             assert!(
                 !fresh || clock_ms < *lease_end_ms,
-                "lease of {peer} is over"
+                "the leader considers the valid lease of {peer} expired"
+            );
+            assert!(
+                !fresh || theirs.role != Role::Leader,
+                "two leaders with a valid view lease"
             );
-            assert!(!fresh || theirs.role != Role::Leader, "two fresh leaders");
         }
     }
 }
--- a/tests/naive_disk/mod.rs
+++ b/tests/naive_disk/mod.rs
@@ -1,10 +1,10 @@
-//! What a data folder must remember, in memory.
+//! An in-memory model of the data folder.
 
 use std::sync::Arc;
 
 use rosemarygauge::consensus::{Record, Recovered};
 
-/// The naive data folder: what the records say, one by one.
+/// Applies one record to the model.
 pub fn replay(disk: &mut Recovered, record: &Record) {
     match record {
         Record::Hard(hard) => disk.hard = hard.clone(),
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -1,4 +1,4 @@
-//! The data folder: what it remembers, what it cuts and what it refuses.
+//! The data folder: recovery, truncation of torn tails, and refusal of damaged files.
 #![allow(missing_docs, clippy::unwrap_used)]
 
 mod naive_disk;
@@ -14,9 +14,10 @@
 use rosemarygauge::consensus::{Entry, HardState, Membership, Record, Recovered, Snapshot};
 use rosemarygauge::storage::{Disk, Job, StorageError, spawn};
 
-/// Header, then tag, index, term, length, command, no membership.
+/// Size of the last frame: header, record tag, index, term, command length, command, and the
+/// tag for no membership.
 const LAST_WRITE_BYTES: usize = 20 + 3 + 3 + COMMAND_BYTES + 1;
-/// More than a sector, so that a crash can leave out some of it.
+/// Larger than a sector, so that a crash can leave a part unwritten.
 const COMMAND_BYTES: usize = 700;
 
 fn open(folder: &Path) -> (Disk, Recovered) {
@@ -32,7 +33,7 @@
     Record::Entry(Entry {
         index,
         term,
-        // No zeros: a zeroed sector is taken for what a crash left out.
+        // Without zeros, because a zeroed sector is interpreted as unwritten.
         command: (0..size).map(|_| rng.random_range(1..=255)).collect(),
         membership: rng
             .random_bool(0.1)
@@ -40,13 +41,13 @@
     })
 }
 
-/// Records as a replica writes them.
-fn some(rng: &mut ChaCha8Rng, now: &Recovered) -> Record {
-    let base = now.snapshot.as_ref().map_or(0, |s| s.index);
-    let last = now.entries.last().map_or(base, |e| e.index);
+/// Returns a random record such as a replica could write next.
+fn random_record(rng: &mut ChaCha8Rng, current: &Recovered) -> Record {
+    let base = current.snapshot.as_ref().map_or(0, |s| s.index);
+    let last = current.entries.last().map_or(base, |e| e.index);
     match rng.random_range(0..100) {
         0..10 => Record::Hard(HardState {
-            term: now.hard.term + 1,
+            term: current.hard.term + 1,
             voted_for: Some("b".into()),
         }),
         10..15 => Record::Identity {
@@ -54,35 +55,36 @@
         },
         15..20 => Record::Truncate { from: base + 1 },
         20..30 => {
-            // Taken here, or from a leader that is ahead.
-            let ahead = if now.entries.is_empty() { 50 } else { 0 };
+            // Either taken locally, or installed from a leader that is ahead.
+            let ahead = if current.entries.is_empty() { 50 } else { 0 };
             Record::Snapshot(Arc::new(Snapshot {
                 index: rng.random_range(base..=last + ahead),
-                term: now.hard.term,
+                term: current.hard.term,
                 membership: Membership::default(),
                 data: vec![7; rng.random_range(0..2000)].into(),
             }))
         }
         30..40 => {
             let index = rng.random_range(base + 1..=last + 1);
-            entry(rng, index, now.hard.term)
+            entry(rng, index, current.hard.term)
         }
-        _ => entry(rng, last + 1, now.hard.term),
+        _ => entry(rng, last + 1, current.hard.term),
     }
 }
 
-/// Whatever was synced is there after each restart, as in the naive folder.
+/// Guards against losing synced records: after each restart, the recovered state must equal
+/// that of the in-memory model.
 #[test]
 fn remembers_what_was_synced() {
     for seed in 0..20 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let folder = tempfile::tempdir().unwrap();
-        let (mut disk, mut naive) = open(folder.path());
+        let (mut disk, mut model) = open(folder.path());
         for _ in 0..60 {
             let mut batch = Vec::new();
             for _ in 0..rng.random_range(1..8) {
-                let record = some(&mut rng, &naive);
-                replay(&mut naive, &record);
+                let record = random_record(&mut rng, &model);
+                replay(&mut model, &record);
                 batch.push(record);
             }
             let (first, second) = batch.split_at(rng.random_range(0..batch.len()));
@@ -90,21 +92,21 @@
             if rng.random_bool(0.2) {
                 drop(disk);
                 let (again, recovered) = open(folder.path());
-                assert_eq!(recovered, naive, "seed {seed}");
+                assert_eq!(recovered, model, "seed {seed}");
                 disk = again;
             }
         }
     }
 }
 
-/// A folder with a snapshot and three writes after it; returns what it remembers
-/// before the last write and in the end, and the last write's file.
-fn written(folder: &Path) -> (Recovered, Recovered, PathBuf) {
+/// Fills a folder with a snapshot and three writes after it. Returns the expected state before
+/// and after the last write, and the log file with the last write.
+fn write_folder(folder: &Path) -> (Recovered, Recovered, PathBuf) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let (mut disk, mut now) = open(folder);
-    let mut before = now.clone();
+    let (mut disk, mut after) = open(folder);
+    let mut before = after.clone();
     for index in 1..=6 {
-        before = now.clone();
+        before = after.clone();
         let mut records = vec![entry(&mut rng, index, 1)];
         if let Record::Entry(entry) = &mut records[0] {
             entry.membership = None;
@@ -118,21 +120,21 @@
                 data: vec![7; 100].into(),
             })));
         }
-        records.iter().for_each(|r| replay(&mut now, r));
+        records.iter().for_each(|r| replay(&mut after, r));
         disk.persist(&[&records]).unwrap();
     }
     let names = fs::read_dir(folder).unwrap().map(|e| e.unwrap().path());
     let last = names.filter(|p| p.to_string_lossy().contains("log-")).max();
-    (before, now, last.unwrap())
+    (before, after, last.unwrap())
 }
 
-/// The process is killed, or the power fails, in the middle of a write. Nobody
-/// was told of it, so at the next start the torn tail is cut, wherever it ends,
-/// and the folder goes on from the write before.
+/// The process is killed, or the power fails, during a write. The write was never acknowledged,
+/// so the next start must truncate the torn tail, wherever it ends, and continue from the
+/// previous write.
 #[test]
 fn torn_tail_is_cut() {
     let folder = tempfile::tempdir().unwrap();
-    let (before, after, log) = written(folder.path());
+    let (before, after, log) = write_folder(folder.path());
     let whole = fs::read(&log).unwrap();
     let start = whole.len() - LAST_WRITE_BYTES;
     for length in (start..=whole.len()).rev().step_by(11) {
@@ -143,7 +145,7 @@
         } else {
             &before
         };
-        assert_eq!(recovered, *expected, "cut to {length} bytes");
+        assert_eq!(recovered, *expected, "truncated to {length} bytes");
         let mut next = recovered.clone();
         let hard = Record::Hard(HardState::default());
         replay(&mut next, &hard);
@@ -151,21 +153,21 @@
         drop(disk);
         assert_eq!(open(folder.path()).1, next);
     }
-    // The file was made longer before its data arrived: the rest reads as zeros.
+    // The file was extended before all data was written: the rest reads as zeros.
     let mut zeros = whole[..(start + 512) / 512 * 512].to_vec();
     zeros.resize(whole.len() + 4096, 0);
     fs::write(&log, &zeros).unwrap();
     assert_eq!(open(folder.path()).1, before);
 }
 
-/// A bit on the disk flips after the sync. A start that skipped the damaged write
-/// would forget acknowledged entries, so it is refused with file, place and
-/// remedy. Only in the header of the very last write it looks as if torn; what is
-/// then cut the leader notices (`older_folder_gives_up_its_identity`).
+/// A bit on the disk flips after the sync. Skipping the damaged write would lose acknowledged
+/// entries, so the folder must be refused with file, offset and remedy. Damage in the header
+/// of the very last write cannot be told from a torn write and is truncated; the leader then
+/// detects the loss (`older_folder_gives_up_its_identity`).
 #[test]
 fn flipped_bit_is_refused() {
     let folder = tempfile::tempdir().unwrap();
-    let (before, _, log) = written(folder.path());
+    let (before, _, log) = write_folder(folder.path());
     let last_write = fs::read(&log).unwrap().len() - LAST_WRITE_BYTES;
     for file in [
         log.clone(),
@@ -173,11 +175,11 @@
         folder.path().join("identity"),
     ] {
         let whole = fs::read(&file).unwrap();
-        for place in (0..whole.len()).rev().step_by(3) {
+        for position in (0..whole.len()).rev().step_by(3) {
             let mut flipped = whole.clone();
-            flipped[place] ^= 1 << (place % 8);
+            flipped[position] ^= 1 << (position % 8);
             fs::write(&file, &flipped).unwrap();
-            let in_last_header = file == log && (last_write..last_write + 20).contains(&place);
+            let in_last_header = file == log && (last_write..last_write + 20).contains(&position);
             match Disk::open(folder.path()) {
                 Err(error @ StorageError::Damaged { .. }) => {
                     let text = error.to_string();
@@ -185,7 +187,7 @@
                     assert!(text.contains("at byte") && text.contains("move the whole"));
                 }
                 Ok((disk, recovered)) => {
-                    assert!(in_last_header && recovered == before, "{file:?} {place}");
+                    assert!(in_last_header && recovered == before, "{file:?} {position}");
                     drop(disk);
                 }
                 Err(error) => panic!("{error}"),
@@ -195,14 +197,14 @@
     }
 }
 
-/// Files of the folder vanish or hold anything. It is refused or read, without a
-/// panic and without memory by the wrong lengths' wish.
+/// Files of the folder are missing or have random content. The folder must be refused or read
+/// without a panic, and corrupt lengths must not cause large allocations.
 #[test]
 fn missing_and_random_files() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     for part in ["log-", "identity"] {
         let folder = tempfile::tempdir().unwrap();
-        written(folder.path());
+        write_folder(folder.path());
         for path in fs::read_dir(folder.path())
             .unwrap()
             .map(|e| e.unwrap().path())
@@ -215,7 +217,7 @@
         assert!(refused, "without {part}");
     }
     let folder = tempfile::tempdir().unwrap();
-    let (_, _, log) = written(folder.path());
+    let (_, _, log) = write_folder(folder.path());
     for file in [
         log,
         folder.path().join("snapshot"),
@@ -233,8 +235,8 @@
     }
 }
 
-/// An operator starts the process twice. Both would vote under one identity, each
-/// forgetting the other's votes; the second is refused.
+/// An operator starts the process twice. Guards against two processes that vote under one
+/// identity without knowing each other's votes: the second one must be refused.
 #[test]
 fn one_process_at_a_time() {
     let folder = tempfile::tempdir().unwrap();
@@ -245,8 +247,8 @@
     assert_eq!(open(folder.path()).1.incarnation, recovered.incarnation);
 }
 
-/// Jobs that wait share a sync, are answered in order, and closing their channel
-/// ends the thread.
+/// Waiting jobs must share a sync and complete in order, and closing their channel must end the
+/// thread.
 #[test]
 fn waiting_jobs_share_a_sync() {
     let folder = tempfile::tempdir().unwrap();
@@ -256,17 +258,18 @@
     disk.persist(&[&hard, &hard, &hard]).unwrap();
     assert_eq!(disk.syncs(), syncs + 1);
     let (jobs, waiting) = mpsc::channel();
-    let (answers, answered) = mpsc::channel();
+    let (completions, completed) = mpsc::channel();
     for token in 1..=100 {
         let records = hard.clone();
         jobs.send(Job { token, records }).unwrap();
     }
-    let answer = move |result: Result<u64, StorageError>| answers.send(result.unwrap()).unwrap();
-    let thread = spawn(disk, waiting, answer).unwrap();
+    let on_synced =
+        move |result: Result<u64, StorageError>| completions.send(result.unwrap()).unwrap();
+    let thread = spawn(disk, waiting, on_synced).unwrap();
     drop(jobs);
     thread.join().unwrap();
     assert_eq!(
-        answered.iter().collect::<Vec<_>>(),
+        completed.iter().collect::<Vec<_>>(),
         (1..=100).collect::<Vec<_>>()
     );
 }
