--- a/src/codec.rs
+++ b/src/codec.rs
@@ -7,7 +7,7 @@
 
 /// Bounds the memory for a decoded value, in bytes. It is above any frame, snapshot chunk
 /// or command, and small enough that a corrupt length cannot exhaust the memory.
-pub const LIMIT_BYTES: usize = 16 * 1024 * 1024;
+pub const VALUE_LIMIT_BYTES: usize = 16 * 1024 * 1024;
 
 /// Bounds the memory for a decoded state, in bytes. A number counts at its full width,
 /// which is up to eight times its encoded size in a snapshot.
@@ -31,9 +31,9 @@
 ///
 /// # Errors
 /// Returns an error if the bytes are truncated, encode another type, have trailing bytes,
-/// or claim a size above [`LIMIT_BYTES`].
+/// or claim a size above [`VALUE_LIMIT_BYTES`].
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
-    decode_within::<T, LIMIT_BYTES>(bytes)
+    decode_within::<T, VALUE_LIMIT_BYTES>(bytes)
 }
 
 /// Decodes the state in a snapshot.
--- a/src/consensus/bootstrap.rs
+++ b/src/consensus/bootstrap.rs
@@ -18,6 +18,7 @@
 pub(super) struct Bootstrap {
     /// Voters that replied that they are empty, with their incarnations.
     empty_voters: BTreeMap<EntryName, u64>,
+    /// Time of the last question to the other voters.
     last_asked_ms: Option<u64>,
 }
 
--- a/src/consensus/election.rs
+++ b/src/consensus/election.rs
@@ -1,7 +1,7 @@
 //! Leader election with pre-votes.
 //!
 //! A voter that has not heard from a leader for an election timeout first runs a
-//! pre-vote round, which changes no state on any voter. Only if a quorum grants it
+//! pre-vote round, which changes no term and no recorded vote. Only if a quorum grants it
 //! does the candidate enter the next term and request binding votes. A voter refuses
 //! both kinds of request while it hears from a leader.
 
@@ -33,7 +33,7 @@
     /// a leader without it.
     fn can_campaign(&self) -> bool {
         let committed = self.log.membership_at(self.commit_index);
-        self.is_voter() || committed.counts(&self.settings.me, self.incarnation)
+        self.is_voter() || committed.is_voter(&self.settings.me, self.incarnation)
     }
 
     /// Requests votes from all other voters; with `pre`, runs a pre-vote round.
@@ -56,7 +56,7 @@
         };
         let term = self.hard.term.saturating_add(u64::from(pre));
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
-        let voters = self.log.membership().without(&self.settings.me);
+        let voters = self.log.membership().without_voter(&self.settings.me);
         for (name, counted_as) in voters.iter() {
             let message = Message::Vote(VoteRequest {
                 term,
@@ -125,7 +125,7 @@
 
     /// Returns whether to grant a pre-vote to this candidate, and remembers the grant.
     ///
-    /// If every simultaneous candidate got a pre-vote, they would split the votes and
+    /// If all simultaneous candidates got pre-votes, they would split the votes and
     /// wait for another timeout. So a voter grants pre-votes to one candidate only for
     /// [`Self::pre_vote_hold_ms`], and of two candidates that ask each other one steps
     /// back. Safety does not depend on this: a pre-vote binds nobody, and a refused
@@ -192,9 +192,9 @@
         if !granted && term > self.hard.term {
             return self.enter_term(now_ms, term);
         }
-        let counts = self.log.membership().counts(&from, Some(incarnation));
+        let is_voter = self.log.membership().is_voter(&from, Some(incarnation));
         match (granted, pre) {
-            _ if !counts => {}
+            _ if !is_voter => {}
             (true, true) => self.count_pre_vote(now_ms, from, term),
             (true, false) => self.count_vote(now_ms, from, term),
             (false, _) => self.count_refusal(now_ms, from, pre),
--- a/src/consensus/leadership_transfer.rs
+++ b/src/consensus/leadership_transfer.rs
@@ -32,7 +32,7 @@
         let RoleState::Leader(leader) = &self.role_state else {
             return None;
         };
-        let voters = self.log.membership().without(&self.settings.me);
+        let voters = self.log.membership().without_voter(&self.settings.me);
         voters
             .iter()
             .max_by_key(|(name, _)| leader.peers.get(*name).map_or(0, |p| p.match_index))
--- a/src/consensus/membership.rs
+++ b/src/consensus/membership.rs
@@ -34,7 +34,7 @@
     }
 
     /// Returns whether the entry instance is a voter with exactly this incarnation.
-    pub fn counts(&self, name: &EntryName, incarnation: Option<u64>) -> bool {
+    pub fn is_voter(&self, name: &EntryName, incarnation: Option<u64>) -> bool {
         incarnation.is_some() && self.incarnation(name) == incarnation
     }
 
@@ -54,14 +54,14 @@
     }
 
     /// Returns a copy in which the voter is added or has the given incarnation.
-    pub fn with(&self, name: &EntryName, incarnation: u64) -> Self {
+    pub fn with_voter(&self, name: &EntryName, incarnation: u64) -> Self {
         let mut voters = self.voters.clone();
         voters.insert(name.clone(), incarnation);
         Self { voters }
     }
 
     /// Returns a copy without one voter.
-    pub fn without(&self, name: &EntryName) -> Self {
+    pub fn without_voter(&self, name: &EntryName) -> Self {
         let mut voters = self.voters.clone();
         voters.remove(name);
         Self { voters }
--- a/src/consensus/membership_changes.rs
+++ b/src/consensus/membership_changes.rs
@@ -8,7 +8,7 @@
 //! Repair is such a change, started by the leader itself: once a voter with a new data
 //! folder has caught up, the membership lists its new incarnation. Until then the lost
 //! folder remains in the membership as an unresponsive voter, so that a second loss
-//! right after it cannot lose entries that were on the first folder.
+//! right after it does not lose the entries that were on the first folder.
 
 use crate::model::EntryName;
 
@@ -57,8 +57,8 @@
         let next = requested.iter().filter_map(|change| match change {
             VoterChange::Add(name) => self
                 .caught_up_incarnation(now_ms, name)
-                .map(|inc| membership.with(name, inc)),
-            VoterChange::Remove(name) => Some(membership.without(name)),
+                .map(|inc| membership.with_voter(name, inc)),
+            VoterChange::Remove(name) => Some(membership.without_voter(name)),
         });
         next.into_iter()
             .find(|next| self.has_live_quorum(now_ms, next))
@@ -95,7 +95,7 @@
         let membership = self.log.membership();
         membership.iter().find_map(|(name, old)| {
             let new = self.caught_up_incarnation(now_ms, name)?;
-            (new != old).then(|| membership.with(name, new))
+            (new != old).then(|| membership.with_voter(name, new))
         })
     }
 
--- a/src/consensus/replica.rs
+++ b/src/consensus/replica.rs
@@ -294,7 +294,7 @@
     /// Returns whether the membership lists this replica's data folder.
     pub(super) fn is_voter(&self) -> bool {
         let membership = self.log.membership();
-        membership.counts(&self.settings.me, self.incarnation)
+        membership.is_voter(&self.settings.me, self.incarnation)
     }
 
     /// Returns whether a leader was heard from within the shortest election timeout.
--- a/tests/consensus_replica.rs
+++ b/tests/consensus_replica.rs
@@ -213,7 +213,11 @@
 #[test]
 fn lone_voter_leads_once_its_vote_is_synced() {
     let mut first = entries(1);
-    first[0].membership = Some(voters().without(&"a".into()).without(&"c".into()));
+    first[0].membership = Some(
+        voters()
+            .without_voter(&"a".into())
+            .without_voter(&"c".into()),
+    );
     let mut replica = replica("b", first);
     let at_ms = 2 * ELECTION_MS + 1;
     replica.handle(at_ms, Input::Tick);
--- a/tests/consensus_world/mod.rs
+++ b/tests/consensus_world/mod.rs
@@ -183,9 +183,10 @@
         let without = self
             .requested_removals
             .iter()
-            .map(|r| self.membership.without(r));
+            .map(|r| self.membership.without_voter(r));
         let mut voters = without.chain([self.membership.clone()]);
-        let survives = voters.all(|v| self.count_intact_folders(&v.without(name)) >= v.quorum());
+        let survives =
+            voters.all(|v| self.count_intact_folders(&v.without_voter(name)) >= v.quorum());
         settled && survives && self.has_disk(name)
     }
 
@@ -201,7 +202,7 @@
     /// Requests the removal of a voter, unless the remaining voters have no quorum because
     /// of a disk loss that is too recent for the leader to know of.
     pub fn request_removal(&mut self, at: &EntryName, name: EntryName) {
-        let left = self.membership.without(&name);
+        let left = self.membership.without_voter(&name);
         if self.count_intact_folders(&left) >= left.quorum()
             || self.now_ms > self.disk_lost_ms + ELECTION_MS
         {
