--- a/src/state/claim.rs
+++ b/src/state/claim.rs
@@ -5,51 +5,51 @@
 
 use super::{Fence, Fingerprint, Trail};
 
-/// A key that was claimed and what became of it.
+/// A request key that was claimed, with the state of its request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// What was asked for.
+    /// Digest of the request.
     pub fingerprint: Fingerprint,
-    /// The present attempt.
+    /// Fence of the current attempt.
     pub fence: Fence,
-    /// Where it stands.
+    /// Whether it is in flight or how it ended.
     pub phase: ClaimPhase,
-    /// What happened, for `explain`.
+    /// Its history, for the `explain` command.
     pub trail: Trail,
 }
 
-/// Where a claim stands.
+/// Whether a claim is in flight or how it ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimPhase {
-    /// An entry instance runs it.
+    /// An entry instance is running the request.
     InFlight {
-        /// Who.
+        /// The entry instance.
         entry: EntryName,
-        /// Its start.
+        /// The entry instance's incarnation.
         incarnation: u64,
-        /// The request inside it.
+        /// The request's id within the entry instance.
         request: RequestId,
-        /// Since when, in milliseconds of Unix time.
+        /// When the claim was granted, in milliseconds of Unix time.
         since_unix_ms: u64,
     },
-    /// It ran once.
+    /// The request ran once.
     Answered {
-        /// When, on the state's clock.
+        /// When the answer was stored, in milliseconds on the state's clock.
         at_unix_ms: u64,
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// The whole body.
+        /// The whole body of the answer.
         body: Vec<u8>,
     },
-    /// It may or may not have run.
+    /// The request may or may not have run.
     Unknown {
-        /// Since when, on the state's clock.
+        /// When it became unknown, in milliseconds on the state's clock.
         at_unix_ms: u64,
     },
 }
 
 impl Claim {
-    /// When it ended on the state's clock, none while in flight.
+    /// When it ended, in milliseconds on the state's clock; none while in flight.
     pub(super) fn ended_ms(&self) -> Option<u64> {
         match self.phase {
             ClaimPhase::InFlight { .. } => None,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Bytes of the stored answer.
+    /// Size of the stored answer, in bytes.
     pub(super) fn answer_bytes(&self) -> u64 {
         match &self.phase {
             ClaimPhase::Answered { body, .. } => body.len() as u64,
--- a/src/state/claims.rs
+++ b/src/state/claims.rs
@@ -5,88 +5,92 @@
 use crate::load::RequestId;
 use crate::model::{EntryName, RequestKey};
 
-use super::stamp::Stamp;
-use super::tombstones::{Fate, Tombstones};
+use super::command_context::CommandContext;
+use super::tombstones::{KeyOutcome, Tombstones};
 use super::{Claim, ClaimPhase, ClaimReply, Fence, Fingerprint, Reply, Trail, TrailEvent};
 
 /// How long a stored answer is kept, in milliseconds: a day, so that a caller
-/// that lost its answer in the evening can ask again in the morning.
+/// that missed its answer in the evening can ask again in the morning.
 pub const KEY_RETENTION_MS: u64 = 24 * 60 * 60 * 1_000;
 
-/// Bytes of stored answers in all; over it the oldest answers go first.
+/// Largest total size of the stored answers, in bytes. Over it the oldest
+/// answers are evicted first.
 pub const MAX_ANSWER_BYTES: u64 = 32 * 1024 * 1024;
 
-/// Bytes of one stored answer; the answer of a longer one is not kept, only
-/// that it ran. One huge answer would otherwise push out hundreds of others.
+/// Largest size of one stored answer, in bytes. Of a longer answer only the fact
+/// that the request ran is kept; one huge answer would otherwise evict hundreds
+/// of others.
 pub const MAX_ONE_ANSWER_BYTES: u64 = 256 * 1024;
 
-/// Claims kept with their trail at once, in flight or ended within the day.
+/// Largest number of claims kept with their trail, in flight or ended within
+/// [`KEY_RETENTION_MS`].
 pub const MAX_CLAIMS: usize = 200_000;
 
 /// Keys of requests that run at most once.
 ///
 /// Every grant has a fence that is never used twice, so a released key can be
-/// forgotten: a late word under its old fence matches nothing.
+/// removed: a late report under its old fence matches no claim.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Claims {
     by_key: BTreeMap<RequestKey, Claim>,
     in_flight: BTreeSet<RequestKey>,
+    /// Claims that are not in flight, by the time they ended.
     ended: BTreeSet<(u64, RequestKey)>,
     answer_bytes: u64,
     last_fence: Fence,
 }
 
 impl Claims {
-    /// The claim on a key, if it is kept.
+    /// Returns the claim on a key, if it is kept.
     pub fn get(&self, key: &RequestKey) -> Option<&Claim> {
         self.by_key.get(key)
     }
 
-    /// Claims kept, in flight or ended.
+    /// The number of claims kept, in flight or ended.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Bytes of stored answers.
+    /// Total size of the stored answers, in bytes.
     pub fn answer_bytes(&self) -> u64 {
         self.answer_bytes
     }
 
-    /// Grants the key to the proposer, or says what became of it.
+    /// Grants a new key to the proposer; for a used key, returns its state.
     pub fn claim(
         &mut self,
-        stamp: Stamp<'_>,
+        context: CommandContext<'_>,
         tombstones: &Tombstones,
-        promised: usize,
+        reserved: usize,
         key: &RequestKey,
         fingerprint: Fingerprint,
         request: RequestId,
     ) -> ClaimReply {
         if let Some(claim) = self.by_key.get(key) {
-            return claim.reply_to(stamp, fingerprint, request);
+            return claim.reply_to(context, fingerprint, request);
         }
-        match tombstones.fate(key) {
-            Some(Fate::Ran) => return ClaimReply::Expired,
-            Some(Fate::Unknown) => return ClaimReply::Unknown,
+        match tombstones.outcome(key) {
+            Some(KeyOutcome::Ran) => return ClaimReply::Expired,
+            Some(KeyOutcome::Unknown) => return ClaimReply::Unknown,
             None => {}
         }
-        // Each claim will need a tombstone; without a place for it the key
-        // would be forgotten and could run again.
-        if self.by_key.len() >= MAX_CLAIMS || tombstones.is_full(promised) {
+        // Each claim will need a tombstone; without one the key would be
+        // forgotten later and its request could run again.
+        if self.by_key.len() >= MAX_CLAIMS || tombstones.is_full(reserved) {
             return ClaimReply::Full;
         }
         let fence = self.last_fence.next();
         self.last_fence = fence;
         let mut trail = Trail::default();
-        trail.push(stamp.step(fence, TrailEvent::Granted));
+        trail.push(context.trail_step(fence, TrailEvent::Granted));
         let claim = Claim {
             fingerprint,
             fence,
             phase: ClaimPhase::InFlight {
-                entry: stamp.entry.clone(),
-                incarnation: stamp.incarnation,
+                entry: context.entry.clone(),
+                incarnation: context.incarnation,
                 request,
-                since_unix_ms: stamp.at_unix_ms,
+                since_unix_ms: context.at_unix_ms,
             },
             trail,
         };
@@ -97,63 +101,73 @@
 
     /// Stores the answer of a claim that is in flight or unknown.
     ///
-    /// Unknown may become known: the entry instance was cut off, was taken for
-    /// lost, and brings the answer of the one attempt when it returns.
-    pub fn answer(
+    /// An unknown outcome may become known: an entry instance that was cut off
+    /// and declared lost reports the answer of the attempt when it returns.
+    pub fn record_answer(
         &mut self,
-        stamp: Stamp<'_>,
+        context: CommandContext<'_>,
         tombstones: &mut Tombstones,
         key: &RequestKey,
         fence: Fence,
         status: u16,
         body: &[u8],
     ) -> Reply {
-        let Some(claim) = self.open(key, fence) else {
-            return self.repeated(key, fence);
+        let Some(claim) = self.open_claim_mut(key, fence) else {
+            return self.reply_to_late_answer(key, fence);
         };
-        claim.trail.push(stamp.step(fence, TrailEvent::Answered));
-        self.end(
+        claim
+            .trail
+            .push(context.trail_step(fence, TrailEvent::Answered));
+        self.set_phase(
             key,
             ClaimPhase::Answered {
-                at_unix_ms: stamp.clock_ms,
+                at_unix_ms: context.clock_ms,
                 status,
                 body: body.to_vec(),
             },
         );
         if body.len() as u64 > MAX_ONE_ANSWER_BYTES {
-            self.bury(key, tombstones, stamp.clock_ms);
+            self.replace_with_tombstone(key, tombstones, context.clock_ms);
         }
-        self.shrink(tombstones, stamp.clock_ms);
+        self.evict_oldest_answers(tombstones, context.clock_ms);
         Reply::Accepted
     }
 
-    /// Frees a key whose attempt certainly did not run.
+    /// Removes the claim of an attempt that certainly did not run.
     pub fn release(&mut self, key: &RequestKey, fence: Fence) -> Reply {
-        if self.open(key, fence).is_none() {
+        if self.open_claim_mut(key, fence).is_none() {
             return Reply::StaleFence;
         }
         self.remove(key);
         Reply::Accepted
     }
 
-    /// Marks a claim as one that may have run.
-    pub fn unknown(&mut self, stamp: Stamp<'_>, key: &RequestKey, fence: Fence) -> Reply {
-        let Some(claim) = self.open(key, fence) else {
+    /// Marks a claim as one whose request may have run.
+    pub fn mark_unknown(
+        &mut self,
+        context: CommandContext<'_>,
+        key: &RequestKey,
+        fence: Fence,
+    ) -> Reply {
+        let Some(claim) = self.open_claim_mut(key, fence) else {
             return Reply::StaleFence;
         };
-        claim.trail.push(stamp.step(fence, TrailEvent::Lost));
-        self.end(
+        claim
+            .trail
+            .push(context.trail_step(fence, TrailEvent::Lost));
+        self.set_phase(
             key,
             ClaimPhase::Unknown {
-                at_unix_ms: stamp.clock_ms,
+                at_unix_ms: context.clock_ms,
             },
         );
         Reply::Accepted
     }
 
-    /// Turns what the entry instance had in flight into unknown: it may have
-    /// sent the request, and nobody is left to say.
-    pub fn entry_lost(&mut self, stamp: Stamp<'_>, lost: &EntryName, up_to: u64) {
+    /// Marks the claims as unknown that a lost entry instance had in flight up
+    /// to an incarnation: it may have sent the requests, and no other process
+    /// knows their outcomes.
+    pub fn settle_lost_entry(&mut self, context: CommandContext<'_>, lost: &EntryName, up_to: u64) {
         let keys: Vec<RequestKey> = self
             .in_flight
             .iter()
@@ -166,45 +180,45 @@
             .collect();
         for key in keys {
             if let Some(claim) = self.by_key.get_mut(&key) {
-                let step = stamp.step(claim.fence, TrailEvent::EntryLost);
+                let step = context.trail_step(claim.fence, TrailEvent::EntryLost);
                 claim.trail.push(step);
             }
-            self.end(
+            self.set_phase(
                 &key,
                 ClaimPhase::Unknown {
-                    at_unix_ms: stamp.clock_ms,
+                    at_unix_ms: context.clock_ms,
                 },
             );
         }
     }
 
-    /// Turns claims that ended more than [`KEY_RETENTION_MS`] ago to tombstones.
+    /// Replaces claims that ended [`KEY_RETENTION_MS`] or more ago with tombstones.
     pub fn expire(&mut self, tombstones: &mut Tombstones, clock_ms: u64) {
         while let Some((at_ms, key)) = self.ended.first().cloned() {
             if at_ms.saturating_add(KEY_RETENTION_MS) > clock_ms {
                 return;
             }
-            self.bury(&key, tombstones, clock_ms);
+            self.replace_with_tombstone(&key, tombstones, clock_ms);
         }
     }
 
-    /// The claim if this fence may still say its outcome.
-    fn open(&mut self, key: &RequestKey, fence: Fence) -> Option<&mut Claim> {
+    /// Returns the claim if an outcome under this fence is still accepted.
+    fn open_claim_mut(&mut self, key: &RequestKey, fence: Fence) -> Option<&mut Claim> {
         self.by_key
             .get_mut(key)
             .filter(|claim| claim.fence == fence && claim.is_open())
     }
 
-    /// The reply to an answer for a claim that is not open: the same one again
-    /// is fine, any other is stale.
-    fn repeated(&self, key: &RequestKey, fence: Fence) -> Reply {
+    /// Returns the reply to an answer for a claim that is not open: an answer
+    /// under the claim's fence is a repetition, any other is stale.
+    fn reply_to_late_answer(&self, key: &RequestKey, fence: Fence) -> Reply {
         match self.by_key.get(key) {
             Some(claim) if claim.fence == fence => Reply::Accepted,
             _ => Reply::StaleFence,
         }
     }
 
-    fn end(&mut self, key: &RequestKey, phase: ClaimPhase) {
+    fn set_phase(&mut self, key: &RequestKey, phase: ClaimPhase) {
         let Some(claim) = self.by_key.get_mut(key) else {
             return;
         };
@@ -230,18 +244,24 @@
         Some(claim)
     }
 
-    fn bury(&mut self, key: &RequestKey, tombstones: &mut Tombstones, clock_ms: u64) {
+    fn replace_with_tombstone(
+        &mut self,
+        key: &RequestKey,
+        tombstones: &mut Tombstones,
+        clock_ms: u64,
+    ) {
         let Some(claim) = self.remove(key) else {
             return;
         };
-        let fate = match claim.phase {
-            ClaimPhase::Answered { .. } => Fate::Ran,
-            ClaimPhase::InFlight { .. } | ClaimPhase::Unknown { .. } => Fate::Unknown,
+        let outcome = match claim.phase {
+            ClaimPhase::Answered { .. } => KeyOutcome::Ran,
+            ClaimPhase::InFlight { .. } | ClaimPhase::Unknown { .. } => KeyOutcome::Unknown,
         };
-        tombstones.bury(key, fate, clock_ms);
+        tombstones.insert(key, outcome, clock_ms);
     }
 
-    fn shrink(&mut self, tombstones: &mut Tombstones, clock_ms: u64) {
+    /// Evicts the oldest answers until the rest fits in [`MAX_ANSWER_BYTES`].
+    fn evict_oldest_answers(&mut self, tombstones: &mut Tombstones, clock_ms: u64) {
         while self.answer_bytes > MAX_ANSWER_BYTES {
             let oldest = self.ended.iter().map(|(_, key)| key).find(|key| {
                 self.by_key
@@ -251,16 +271,18 @@
             let Some(key) = oldest.cloned() else {
                 return;
             };
-            self.bury(&key, tombstones, clock_ms);
+            self.replace_with_tombstone(&key, tombstones, clock_ms);
         }
     }
 }
 
 impl Claim {
+    /// Whether its outcome may still be reported.
     fn is_open(&self) -> bool {
         !matches!(self.phase, ClaimPhase::Answered { .. })
     }
 
+    /// Whether the entry instance runs it, in this incarnation or an earlier one.
     fn is_run_by(&self, by: &EntryName, up_to: u64) -> bool {
         matches!(
             &self.phase,
@@ -268,26 +290,27 @@
         )
     }
 
+    /// Returns the reply to a request that claims this key again.
     fn reply_to(
         &self,
-        stamp: Stamp<'_>,
+        context: CommandContext<'_>,
         fingerprint: Fingerprint,
-        asking: RequestId,
+        asking_request: RequestId,
     ) -> ClaimReply {
         if self.fingerprint != fingerprint {
             return ClaimReply::Conflict;
         }
         match &self.phase {
-            // The proposer asks again for the claim that it already holds: it
-            // did not see the first reply, so it has not sent anything yet.
+            // The proposer claims again what it already holds: it did not see
+            // the first reply, so it has not sent the request yet.
             ClaimPhase::InFlight {
                 entry,
                 incarnation,
                 request,
                 ..
-            } if entry == stamp.entry
-                && *incarnation == stamp.incarnation
-                && *request == asking =>
+            } if entry == context.entry
+                && *incarnation == context.incarnation
+                && *request == asking_request =>
             {
                 ClaimReply::Granted { fence: self.fence }
             }
--- a/src/state/clock.rs
+++ b/src/state/clock.rs
@@ -4,33 +4,33 @@
 
 use crate::model::EntryName;
 
-/// The state's own clock: the lower median of what the entry instances' clocks
-/// showed with their last commands, never going back.
+/// The replicated state's clock: the lower median of the times that the entry
+/// instances put on their latest commands. It never goes back.
 ///
-/// It decides when keys are forgotten. Were it the newest clock heard, one
-/// entry instance with a wrong year would make the state forget every key at
+/// It decides when keys expire. If the state took the newest time instead, one
+/// entry instance whose clock shows a wrong year would expire every key at
 /// once, and a booking sent again would run twice. A minority of wrong clocks
 /// cannot move the median beyond the right ones; an idle entry instance can
 /// only hold it back, which keeps keys longer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Clock {
-    shown: BTreeMap<EntryName, u64>,
+    last_times_ms: BTreeMap<EntryName, u64>,
     now_ms: u64,
 }
 
 impl Clock {
-    /// Takes in what the proposer's clock shows and gives the state's time.
+    /// Records the proposer's time and returns the state's time.
     pub fn advance(&mut self, entry: &EntryName, at_unix_ms: u64) -> u64 {
-        self.shown.insert(entry.clone(), at_unix_ms);
-        let mut times: Vec<u64> = self.shown.values().copied().collect();
-        times.sort_unstable();
-        let median = times[(times.len() - 1) / 2];
-        self.now_ms = self.now_ms.max(median);
+        self.last_times_ms.insert(entry.clone(), at_unix_ms);
+        let mut times_ms: Vec<u64> = self.last_times_ms.values().copied().collect();
+        times_ms.sort_unstable();
+        let median_ms = times_ms[(times_ms.len() - 1) / 2];
+        self.now_ms = self.now_ms.max(median_ms);
         self.now_ms
     }
 
-    /// Leaves a lost entry instance's clock out from now on.
-    pub fn forget(&mut self, entry: &EntryName) {
-        self.shown.remove(entry);
+    /// Excludes a lost entry instance from the median until its next command.
+    pub fn remove(&mut self, entry: &EntryName) {
+        self.last_times_ms.remove(entry);
     }
 }
--- a/src/state/command.rs
+++ b/src/state/command.rs
@@ -9,195 +9,200 @@
 
 use super::{Fence, Fingerprint, JobId};
 
-/// Tells one proposal from all others, so that its proposer finds its reply.
+/// Identifies one proposal, so that its proposer can find the reply.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CommandId {
     /// The entry instance that proposed it.
     pub entry: EntryName,
-    /// The entry's start, so that a restart does not use a number again.
+    /// The entry instance's incarnation, so that sequence numbers do not repeat
+    /// after a restart.
     pub incarnation: u64,
-    /// Counts the entry's proposals.
+    /// Counts the proposals of the incarnation.
     pub sequence: u64,
 }
 
 /// A proposed change of the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// Its id.
+    /// Identifies the proposal.
     pub id: CommandId,
     /// When it was proposed, in milliseconds of Unix time.
     pub at_unix_ms: u64,
-    /// What is to change.
+    /// The change.
     pub change: Change,
 }
 
-/// What is to change.
+/// The change that a command makes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// Rows of weights and limits, all or none.
+    /// Puts rows of weights and limits in force, all or none.
     PutRows {
-        /// The operator's id for the change; resent, it gets its first answer.
+        /// The operator's id for the change; a change sent again under this id
+        /// gets its first reply.
         change: ChangeId,
-        /// Who.
+        /// The operator's name.
         operator: String,
-        /// The rows.
+        /// The rows wanted.
         rows: Vec<RowChange>,
-        /// Whether the operator has confirmed jumps and removals.
+        /// Whether the operator has confirmed large changes of a value and
+        /// removals.
         confirm_jump: bool,
     },
-    /// A change of pools, instances or waves.
+    /// Changes pools, instances or waves.
     Fleet {
-        /// The operator's id, none for changes by the system itself.
+        /// The operator's id for the change; none for changes by the system
+        /// itself.
         change: Option<ChangeId>,
-        /// Who: an operator's name, or the part of the system.
+        /// The operator's name, or the part of the system that proposed it.
         by: String,
-        /// The change.
+        /// The fleet's command.
         command: FleetCommand,
     },
-    /// What an instance of the fleet says it can carry; limits are checked
-    /// against it.
+    /// Records the capacity that an instance of the fleet reports; limits of
+    /// rows are checked against it.
     Capacity {
         /// The instance.
         instance: InstanceName,
-        /// What it carries.
+        /// The capacity reported.
         capacity: Capacity,
     },
-    /// The proposer is up, in this availability zone.
+    /// Records that the proposer is up, and its availability zone.
     EntrySeen {
         /// The proposer's availability zone.
         zone: ZoneName,
     },
-    /// An entry instance is gone, so what it had in flight is settled.
+    /// Declares an entry instance lost and settles what it had in flight.
     EntryLost {
         /// The entry instance.
         entry: EntryName,
-        /// The start that is over; a newer one is left alone.
+        /// The incarnation that has ended; a newer one is not affected.
         incarnation: u64,
     },
-    /// Asks for the right to run the request of a key, at most once.
+    /// Claims a key: asks for the right to run its request, at most once.
     Claim {
         /// The key, see [`super::scoped_key`].
         key: RequestKey,
-        /// What is asked for.
+        /// Digest of the request.
         fingerprint: Fingerprint,
-        /// The request inside the proposer.
+        /// The request's id within the proposer.
         request: RequestId,
     },
-    /// The claimed request ran, with this answer.
+    /// Reports the answer of a claimed request that ran.
     ClaimAnswer {
         /// The key.
         key: RequestKey,
-        /// The fence that was granted.
+        /// The fence that the claim was granted under.
         fence: Fence,
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// The whole body.
+        /// The whole body of the answer.
         body: Vec<u8>,
     },
-    /// The claimed request certainly did not run.
+    /// Reports that the claimed request certainly did not run.
     ClaimRelease {
         /// The key.
         key: RequestKey,
-        /// The fence that was granted.
+        /// The fence that the claim was granted under.
         fence: Fence,
     },
-    /// Nobody knows whether the claimed request ran.
+    /// Reports that the claimed request may have run.
     ClaimUnknown {
         /// The key.
         key: RequestKey,
-        /// The fence that was granted.
+        /// The fence that the claim was granted under.
         fence: Fence,
     },
-    /// Takes a patient job in; it is durable once this is committed.
+    /// Accepts a patient job; it is durable once this command is committed.
     JobAccept(NewJob),
-    /// Gives a ready job to an entry instance.
+    /// Assigns a ready job to an entry instance.
     JobAssign {
         /// The job.
         job: JobId,
-        /// Its present fence.
+        /// The job's current fence.
         fence: Fence,
         /// The entry instance that is to run it.
         owner: EntryName,
-        /// The owner's start.
+        /// The owner's incarnation.
         incarnation: u64,
     },
-    /// Where the next attempt may go on.
+    /// Stores the checkpoint from which the next attempt may resume.
     JobCheckpoint {
         /// The job.
         job: JobId,
         /// The attempt's fence.
         fence: Fence,
-        /// What the upstream handed out.
+        /// The checkpoint as the upstream returned it, opaque here.
         data: Vec<u8>,
     },
-    /// The attempt finished.
+    /// Reports the answer of an attempt that finished.
     JobDone {
         /// The job.
         job: JobId,
         /// The attempt's fence.
         fence: Fence,
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// The whole body.
+        /// The whole body of the answer.
         body: Vec<u8>,
     },
-    /// The attempt certainly did not run.
+    /// Reports that the attempt certainly did not run.
     JobNotRun {
         /// The job.
         job: JobId,
         /// The attempt's fence.
         fence: Fence,
     },
-    /// Nobody knows whether the attempt ran.
+    /// Reports that the attempt may have run.
     JobLost {
         /// The job.
         job: JobId,
         /// The attempt's fence.
         fence: Fence,
     },
-    /// The job can never run.
+    /// Ends a job that can never run.
     JobRefused {
         /// The job.
         job: JobId,
-        /// Its present fence.
+        /// The job's current fence.
         fence: Fence,
-        /// Why.
+        /// Why it cannot run.
         reason: RefusalReason,
     },
-    /// The caller wants it no more; heeded before an attempt starts.
+    /// Cancels a job on its caller's request; without effect once an attempt
+    /// has started.
     JobCancel {
         /// The job.
         job: JobId,
     },
 }
 
-/// One row as an operator wants it.
+/// An operator's change to one row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowChange {
-    /// Which row.
+    /// The row's key.
     pub key: RowKey,
-    /// The version the operator saw, 0 for a new row.
+    /// The version that the operator last saw, 0 for a new row.
     pub expected_version: u64,
-    /// The row wanted, none to remove it.
+    /// The new row; none to remove the row.
     pub row: Option<Row>,
 }
 
-/// A patient job as it arrives.
+/// A patient job that an entry instance submits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewJob {
-    /// Its id, chosen by the entry instance that took it.
+    /// The job's id, chosen by the entry instance that received it.
     pub job: JobId,
     /// The caller's key, see [`super::scoped_key`].
     pub key: RequestKey,
-    /// What is asked for.
+    /// Digest of the request.
     pub fingerprint: Fingerprint,
-    /// The service.
+    /// The service that runs it.
     pub service: ServiceName,
-    /// Whose quota it counts against.
+    /// The team whose quota it counts against.
     pub team: TeamName,
-    /// Who sent it.
+    /// The caller that sent it.
     pub caller: String,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub idempotent: bool,
     /// The request's body.
     pub body: Vec<u8>,
--- a/src/state/stamp.rs
+++ b/src/state/command_context.rs
@@ -2,12 +2,12 @@
 
 use super::{Fence, TrailEvent, TrailStep};
 
-/// Who proposed a command and when, as the parts of the state see it.
+/// The proposer and the times of the command that is being applied.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Stamp<'a> {
+pub(super) struct CommandContext<'a> {
     /// The proposer.
     pub entry: &'a EntryName,
-    /// The proposer's start.
+    /// The proposer's incarnation.
     pub incarnation: u64,
     /// The proposer's clock, in milliseconds of Unix time.
     pub at_unix_ms: u64,
@@ -15,9 +15,9 @@
     pub clock_ms: u64,
 }
 
-impl Stamp<'_> {
-    /// A trail step of this command.
-    pub fn step(&self, fence: Fence, event: TrailEvent) -> TrailStep {
+impl CommandContext<'_> {
+    /// Returns a trail step for an event that this command causes.
+    pub fn trail_step(&self, fence: Fence, event: TrailEvent) -> TrailStep {
         TrailStep {
             at_unix_ms: self.at_unix_ms,
             by: self.entry.clone(),
--- a/src/state/entries.rs
+++ b/src/state/entries.rs
@@ -6,41 +6,43 @@
 
 use super::{CommandId, Reply};
 
-/// Proposals remembered of each entry instance. At 1,000 proposals a second it
-/// spans four seconds, well over the time after which a proposer asks again.
-pub const PROPOSALS_KEPT: u64 = 4_096;
+/// Sequence numbers of each entry instance for which replies are kept, so that
+/// a repeated command is recognised. At 1,000 commands a second this spans four
+/// seconds, well over the time after which a proposer asks again.
+pub const DEDUP_WINDOW_COMMANDS: u64 = 4_096;
 
 /// An entry instance as the replicated state knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryState {
-    /// Its present start.
+    /// Its current incarnation.
     pub incarnation: u64,
-    /// Its availability zone, once it said so.
+    /// Its availability zone, once it was reported.
     pub zone: Option<ZoneName>,
-    /// Whether it was taken for lost since its last command.
+    /// Whether it was declared lost after its last command.
     pub lost: bool,
-    newest: u64,
+    newest_sequence: u64,
+    /// Replies by sequence number; none where the reply was too large to keep.
     replies: BTreeMap<u64, Option<Reply>>,
 }
 
-/// What to do with a command that arrives.
-pub(super) enum Arrival {
-    /// New: apply it. If the entry instance has started anew, everything up to
-    /// this incarnation is over.
-    Fresh { over: Option<u64> },
-    /// Applied before, with this reply if it was kept.
+/// Whether a command is to be applied.
+pub(super) enum CommandStatus {
+    /// The command is new and is to be applied. If the entry instance has
+    /// restarted, its work up to `ended_incarnation` is to be settled first.
+    New { ended_incarnation: Option<u64> },
+    /// The command was applied before, with this reply if it was kept.
     Repeated(Option<Reply>),
-    /// Too old to tell.
+    /// The command is outside the deduplication window.
     Superseded,
-    /// From a start that is over.
+    /// The command is from an incarnation that has ended.
     StaleIncarnation,
 }
 
-/// The entry instances and their latest proposals.
+/// The entry instances and the replies to their latest commands.
 ///
-/// The log may hold one proposal twice: its proposer asks again after a
-/// timeout, or a forward is doubled. Applied twice, a claim that was released
-/// meanwhile would be granted to a request that is long over.
+/// The log may hold one command twice: its proposer asks again after a timeout,
+/// or a forwarded message is duplicated. If it were applied twice, a claim that
+/// was released meanwhile would be granted to a request that has ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Entries {
     by_name: BTreeMap<EntryName, EntryState>,
@@ -52,58 +54,65 @@
         &self.by_name
     }
 
-    /// Takes note of a command.
-    pub fn arrive(&mut self, id: &CommandId) -> Arrival {
+    /// Tells whether a command is new, and records the proposer's incarnation.
+    pub fn check_command(&mut self, id: &CommandId) -> CommandStatus {
         let Some(entry) = self.by_name.get_mut(&id.entry) else {
             self.by_name
                 .insert(id.entry.clone(), EntryState::new(id.incarnation));
-            return Arrival::Fresh { over: None };
+            return CommandStatus::New {
+                ended_incarnation: None,
+            };
         };
         if id.incarnation < entry.incarnation {
-            return Arrival::StaleIncarnation;
+            return CommandStatus::StaleIncarnation;
         }
         if id.incarnation > entry.incarnation {
-            let over = Some(entry.incarnation);
+            let ended_incarnation = Some(entry.incarnation);
             let zone = entry.zone.take();
             *entry = EntryState::new(id.incarnation);
             entry.zone = zone;
-            return Arrival::Fresh { over };
+            return CommandStatus::New { ended_incarnation };
         }
         if let Some(reply) = entry.replies.get(&id.sequence) {
-            return Arrival::Repeated(reply.clone());
+            return CommandStatus::Repeated(reply.clone());
         }
-        if id.sequence.saturating_add(PROPOSALS_KEPT) <= entry.newest {
-            return Arrival::Superseded;
+        if id.sequence.saturating_add(DEDUP_WINDOW_COMMANDS) <= entry.newest_sequence {
+            return CommandStatus::Superseded;
         }
         entry.lost = false;
-        Arrival::Fresh { over: None }
+        CommandStatus::New {
+            ended_incarnation: None,
+        }
     }
 
-    /// Remembers the reply to a command; none if it is too large to keep.
-    pub fn remember(&mut self, id: &CommandId, reply: Option<Reply>) {
+    /// Records the reply to a command; none if it is too large to keep.
+    pub fn record_reply(&mut self, id: &CommandId, reply: Option<Reply>) {
         let Some(entry) = self.by_name.get_mut(&id.entry) else {
             return;
         };
-        entry.newest = entry.newest.max(id.sequence);
+        entry.newest_sequence = entry.newest_sequence.max(id.sequence);
         entry.replies.insert(id.sequence, reply);
-        let floor = entry.newest.saturating_sub(PROPOSALS_KEPT - 1);
+        let oldest_kept = entry
+            .newest_sequence
+            .saturating_sub(DEDUP_WINDOW_COMMANDS - 1);
         while let Some(first) = entry.replies.first_entry() {
-            if *first.key() >= floor {
+            if *first.key() >= oldest_kept {
                 return;
             }
             first.remove();
         }
     }
 
-    /// Notes an entry instance's availability zone.
-    pub fn seen(&mut self, name: &EntryName, zone: &ZoneName) {
+    /// Records an entry instance's availability zone.
+    pub fn set_zone(&mut self, name: &EntryName, zone: &ZoneName) {
         if let Some(entry) = self.by_name.get_mut(name) {
             entry.zone = Some(zone.clone());
         }
     }
 
-    /// Takes an entry instance for lost; false if that start is not the present.
-    pub fn lose(&mut self, name: &EntryName, incarnation: u64) -> bool {
+    /// Marks an entry instance as lost; returns false if the incarnation is not
+    /// the current one.
+    pub fn mark_lost(&mut self, name: &EntryName, incarnation: u64) -> bool {
         match self.by_name.get_mut(name) {
             Some(entry) if entry.incarnation == incarnation => {
                 entry.lost = true;
@@ -113,7 +122,8 @@
         }
     }
 
-    /// Whether this start of the entry instance is the present one and not lost.
+    /// Whether this is the entry instance's current incarnation and it is not
+    /// marked as lost.
     pub fn is_present(&self, name: &EntryName, incarnation: u64) -> bool {
         self.by_name
             .get(name)
@@ -127,7 +137,7 @@
             incarnation,
             zone: None,
             lost: false,
-            newest: 0,
+            newest_sequence: 0,
             replies: BTreeMap::new(),
         }
     }
--- a/src/state/fence.rs
+++ b/src/state/fence.rs
@@ -1,6 +1,7 @@
 use serde::{Deserialize, Serialize};
 
-/// Numbers the attempts at one piece of work; only the present number counts.
+/// A fencing token: the number of an attempt at a request or job. Reports under
+/// any other number than the current one are rejected.
 #[derive(
     Clone,
     Copy,
@@ -19,7 +20,7 @@
 pub struct Fence(pub u64);
 
 impl Fence {
-    /// The fence of the attempt after this one.
+    /// Returns the fence of the next attempt.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
--- a/src/state/fingerprint.rs
+++ b/src/state/fingerprint.rs
@@ -3,17 +3,17 @@
 
 use crate::model::{RequestKey, ServiceName, TeamName};
 
-/// Digest of what a request asks for and who asks.
+/// Digest of a request's content and its sender.
 ///
-/// The same key with another fingerprint is another request. Without the
-/// caller in it, two callers that both number their requests from 1 could be
-/// given each other's answers.
+/// The same key with another fingerprint is another request. If the fingerprint
+/// left the caller out, two callers that both number their requests from 1 could
+/// receive each other's answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint([u8; 32]);
 
 impl Fingerprint {
-    /// The fingerprint of a request's service, team, caller and body.
+    /// Returns the fingerprint of a request's service, team, caller and body.
     pub fn of(service: &ServiceName, team: &TeamName, caller: &str, body: &[u8]) -> Self {
         let mut hash = Sha256::new();
         for part in [
@@ -22,23 +22,24 @@
             caller.as_bytes(),
             body,
         ] {
-            // The length keeps "ab" + "c" apart from "a" + "bc".
+            // The length prefix keeps "ab" + "c" apart from "a" + "bc".
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
         Self(hash.finalize().into())
     }
 
-    /// The fingerprint of encoded bytes.
+    /// Returns the fingerprint of encoded bytes.
     pub(super) fn of_bytes(bytes: &[u8]) -> Self {
         Self(Sha256::digest(bytes).into())
     }
 }
 
-/// The key under which a caller's own key is claimed.
+/// Returns the key under which a caller's own key is claimed: prefixed with the
+/// team and the caller.
 ///
-/// Callers choose keys without knowing of each other; the prefix keeps one
-/// caller's `1` apart from another's.
+/// Callers choose their keys independently; the prefix keeps one caller's `1`
+/// apart from another's.
 pub fn scoped_key(team: &TeamName, caller: &str, key: &str) -> RequestKey {
     let team = team.as_str();
     RequestKey::from(format!(
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -6,7 +6,7 @@
 
 use super::{Fence, Fingerprint, Trail};
 
-/// A patient job's id, chosen by the entry instance that took it in.
+/// A patient job's id, chosen by the entry instance that accepted it.
 #[derive(
     Clone,
     Debug,
@@ -31,83 +31,83 @@
     }
 }
 
-/// A patient job: accepted durably, finishes exactly once.
+/// A patient job: accepted durably, and completed exactly once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// Its id.
+    /// The job's id.
     pub id: JobId,
     /// The caller's key.
     pub key: RequestKey,
-    /// What was asked for.
+    /// Digest of the request.
     pub fingerprint: Fingerprint,
-    /// The service.
+    /// The service that runs it.
     pub service: ServiceName,
-    /// Whose quota it counts against.
+    /// The team whose quota it counts against.
     pub team: TeamName,
-    /// Who sent it.
+    /// The caller that sent it.
     pub caller: String,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// The request's body.
+    /// The request's body; empty once the job has ended for good.
     pub body: Vec<u8>,
     /// When it was accepted, in milliseconds of Unix time.
     pub accepted_unix_ms: u64,
-    /// The present attempt, or the next one while ready.
+    /// Fence of the current attempt, or of the next one while ready.
     pub fence: Fence,
-    /// Where it stands.
+    /// Whether it waits, runs or how it ended.
     pub phase: JobPhase,
-    /// Where the next attempt may go on.
+    /// Checkpoint from which the next attempt may resume.
     pub checkpoint: Option<Vec<u8>>,
-    /// What happened, for `explain`.
+    /// Its history, for the `explain` command.
     pub trail: Trail,
-    /// Its place among the ready ones: first come, first served.
+    /// Position among the ready jobs, which are served first come, first served.
     pub(super) order: u64,
 }
 
-/// Where a patient job stands.
+/// Whether a patient job waits, runs or how it ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobPhase {
-    /// Waits for an entry instance to take it.
+    /// Waits to be assigned to an entry instance.
     Ready,
-    /// An entry instance runs it.
+    /// An entry instance is running it.
     Assigned {
-        /// Who.
+        /// The entry instance.
         owner: EntryName,
-        /// The owner's start.
+        /// The owner's incarnation.
         incarnation: u64,
-        /// Since when, in milliseconds of Unix time.
+        /// When it was assigned, in milliseconds of Unix time.
         since_unix_ms: u64,
     },
-    /// Ran once.
+    /// The job ran once.
     Done {
-        /// When, on the state's clock.
+        /// When it ended, in milliseconds on the state's clock.
         at_unix_ms: u64,
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// The whole body.
+        /// The whole body of the answer.
         body: Vec<u8>,
     },
-    /// May have run and is not run again.
+    /// The job may have run and is not run again.
     Unknown {
-        /// Since when, on the state's clock.
+        /// When it became unknown, in milliseconds on the state's clock.
         at_unix_ms: u64,
     },
-    /// Did not run and never can.
+    /// The job did not run and never can.
     Refused {
-        /// When, on the state's clock.
+        /// When it ended, in milliseconds on the state's clock.
         at_unix_ms: u64,
-        /// Why.
+        /// Why it cannot run.
         reason: RefusalReason,
     },
-    /// Did not run: cancelled before its start.
+    /// The job was cancelled before an attempt started.
     Cancelled {
-        /// When, on the state's clock.
+        /// When it ended, in milliseconds on the state's clock.
         at_unix_ms: u64,
     },
 }
 
 impl Job {
-    /// When it ended on the state's clock, none before.
+    /// When it ended, in milliseconds on the state's clock; none before that.
     pub fn ended_ms(&self) -> Option<u64> {
         match self.phase {
             JobPhase::Ready | JobPhase::Assigned { .. } => None,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Whether the attempt under its fence may still say its outcome.
+    /// Whether the attempt under its fence may still report its outcome.
     pub(super) fn is_open(&self) -> bool {
         matches!(
             self.phase,
@@ -126,7 +126,7 @@
         )
     }
 
-    /// Whether this start, or an earlier one, of the entry instance runs it.
+    /// Whether the entry instance runs it, in this incarnation or an earlier one.
     pub(super) fn is_run_by(&self, by: &EntryName, up_to: u64) -> bool {
         matches!(
             &self.phase,
@@ -134,15 +134,15 @@
         )
     }
 
-    /// Whether exactly this start of the entry instance runs it.
-    pub(super) fn is_owned(&self, by: &EntryName, start: u64) -> bool {
+    /// Whether exactly this incarnation of the entry instance runs it.
+    pub(super) fn is_owned_by(&self, by: &EntryName, current: u64) -> bool {
         matches!(
             &self.phase,
-            JobPhase::Assigned { owner, incarnation, .. } if owner == by && *incarnation == start
+            JobPhase::Assigned { owner, incarnation, .. } if owner == by && *incarnation == current
         )
     }
 
-    /// Bytes it holds.
+    /// Total size of its body, checkpoint and answer, in bytes.
     pub(super) fn bytes(&self) -> u64 {
         let answer = match &self.phase {
             JobPhase::Done { body, .. } => body.len(),
--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -4,82 +4,85 @@
 
 use crate::model::{EntryName, RefusalReason, RequestKey};
 
-use super::stamp::Stamp;
-use super::tombstones::{Fate, Tombstones};
+use super::command_context::CommandContext;
+use super::tombstones::{KeyOutcome, Tombstones};
 use super::{Fence, Job, JobId, JobPhase, JobReply, NewJob, Reply, Trail, TrailEvent};
 
 /// How long an ended job is kept with its answer, in milliseconds: a week, the
-/// period of the weekly report that reads it.
+/// period of the weekly report that reads the answers.
 pub const JOB_RETENTION_MS: u64 = 7 * 24 * 60 * 60 * 1_000;
 
-/// Bytes of bodies, checkpoints and answers in all. Over it the oldest ended
-/// jobs go first; while open jobs alone fill it, no new job is taken.
+/// Largest total size of bodies, checkpoints and answers, in bytes. Over it the
+/// oldest ended jobs are evicted first; while open jobs alone fill it, new jobs
+/// are refused.
 pub const MAX_JOBS_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Bytes of one job's body, checkpoint or answer.
+/// Largest size of one job's body, checkpoint or answer, in bytes each.
 pub const MAX_JOB_PART_BYTES: u64 = 256 * 1024;
 
-/// Jobs kept at once, open or ended.
+/// Largest number of jobs kept, open or ended.
 pub const MAX_JOBS: usize = 100_000;
 
 /// HTTP status of a job that ran and whose answer is too large to keep.
 pub const STATUS_TOO_LARGE: u16 = 507;
 
-/// What is kept in its place.
-const TOO_LARGE: &str = "it ran once; its answer is too large to be kept\n";
+/// Body that replaces an answer that is too large to keep.
+const TOO_LARGE_BODY: &str = "it ran once; its answer is too large to be kept\n";
 
 /// Patient jobs, by id and by the caller's key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Jobs {
     by_id: BTreeMap<JobId, Job>,
     by_key: BTreeMap<RequestKey, JobId>,
+    /// Ready jobs by [`Job::order`].
     ready: BTreeMap<u64, JobId>,
     assigned: BTreeSet<JobId>,
+    /// Ended jobs by the time they ended.
     ended: BTreeSet<(u64, JobId)>,
     bytes: u64,
     last_order: u64,
 }
 
 impl Jobs {
-    /// The job of an id, if it is kept.
+    /// Returns the job with this id, if it is kept.
     pub fn get(&self, id: &JobId) -> Option<&Job> {
         self.by_id.get(id)
     }
 
-    /// The job of a key, if it is kept.
-    pub fn of_key(&self, key: &RequestKey) -> Option<&Job> {
+    /// Returns the job with this key, if it is kept.
+    pub fn get_by_key(&self, key: &RequestKey) -> Option<&Job> {
         self.by_id.get(self.by_key.get(key)?)
     }
 
-    /// Jobs that wait to be assigned, in the order of their acceptance.
+    /// The jobs that wait to be assigned, in the order of their acceptance.
     pub fn ready(&self) -> impl Iterator<Item = &Job> {
         self.ready.values().filter_map(|id| self.by_id.get(id))
     }
 
-    /// Jobs that some entry instance runs.
+    /// The jobs that an entry instance runs.
     pub fn assigned(&self) -> impl Iterator<Item = &Job> {
         self.assigned.iter().filter_map(|id| self.by_id.get(id))
     }
 
-    /// Jobs kept, open or ended.
+    /// The number of jobs kept, open or ended.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Bytes held.
+    /// Total size of bodies, checkpoints and answers, in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Takes a job in, or says what became of the one under its key.
+    /// Accepts a new job; for a used key, returns the state of its job.
     pub fn accept(
         &mut self,
-        stamp: Stamp<'_>,
+        context: CommandContext<'_>,
         tombstones: &mut Tombstones,
-        promised: usize,
+        reserved: usize,
         new: &NewJob,
     ) -> JobReply {
-        if let Some(job) = self.of_key(&new.key) {
+        if let Some(job) = self.get_by_key(&new.key) {
             return if job.fingerprint == new.fingerprint {
                 JobReply::Accepted {
                     job: job.id.clone(),
@@ -88,9 +91,9 @@
                 JobReply::Conflict
             };
         }
-        match tombstones.fate(&new.key) {
-            Some(Fate::Ran) => return JobReply::Expired,
-            Some(Fate::Unknown) => return JobReply::Unknown,
+        match tombstones.outcome(&new.key) {
+            Some(KeyOutcome::Ran) => return JobReply::Expired,
+            Some(KeyOutcome::Unknown) => return JobReply::Unknown,
             None => {}
         }
         if new.body.len() as u64 > MAX_JOB_PART_BYTES {
@@ -98,27 +101,27 @@
                 limit_bytes: MAX_JOB_PART_BYTES,
             };
         }
-        self.shrink(tombstones, stamp.clock_ms, new.body.len() as u64);
+        self.evict_until_fits(tombstones, context.clock_ms, new.body.len() as u64);
         let bytes = self.bytes + new.body.len() as u64;
-        if bytes > MAX_JOBS_BYTES || self.len() >= MAX_JOBS || tombstones.is_full(promised) {
+        if bytes > MAX_JOBS_BYTES || self.len() >= MAX_JOBS || tombstones.is_full(reserved) {
             return JobReply::Full;
         }
-        // Ids are the entry instances' to keep apart; a clash must not replace
-        // an accepted job.
+        // The entry instances are to choose unique ids; a duplicate must not
+        // replace an accepted job.
         if self.by_id.contains_key(&new.job) {
             return JobReply::Conflict;
         }
-        self.insert(stamp, new);
+        self.insert(context, new);
         JobReply::Accepted {
             job: new.job.clone(),
         }
     }
 
-    fn insert(&mut self, stamp: Stamp<'_>, new: &NewJob) {
+    fn insert(&mut self, context: CommandContext<'_>, new: &NewJob) {
         self.last_order += 1;
         let fence = Fence(1);
         let mut trail = Trail::default();
-        trail.push(stamp.step(fence, TrailEvent::Accepted));
+        trail.push(context.trail_step(fence, TrailEvent::Accepted));
         let job = Job {
             id: new.job.clone(),
             key: new.key.clone(),
@@ -128,7 +131,7 @@
             caller: new.caller.clone(),
             idempotent: new.idempotent,
             body: new.body.clone(),
-            accepted_unix_ms: stamp.at_unix_ms,
+            accepted_unix_ms: context.at_unix_ms,
             fence,
             phase: JobPhase::Ready,
             checkpoint: None,
@@ -141,10 +144,10 @@
         self.by_id.insert(job.id.clone(), job);
     }
 
-    /// Gives a ready job to an entry instance that is present.
+    /// Assigns a ready job to an entry instance, which must be present.
     pub fn assign(
         &mut self,
-        stamp: Stamp<'_>,
+        context: CommandContext<'_>,
         id: &JobId,
         fence: Fence,
         owner: &EntryName,
@@ -158,7 +161,7 @@
         }
         match &job.phase {
             JobPhase::Ready => {}
-            JobPhase::Assigned { .. } if job.is_owned(owner, incarnation) => {
+            JobPhase::Assigned { .. } if job.is_owned_by(owner, incarnation) => {
                 return Reply::Job(JobReply::Assigned { fence });
             }
             JobPhase::Assigned { .. } => return Reply::StaleFence,
@@ -167,23 +170,23 @@
         let phase = JobPhase::Assigned {
             owner: owner.clone(),
             incarnation,
-            since_unix_ms: stamp.at_unix_ms,
+            since_unix_ms: context.at_unix_ms,
         };
-        self.step(stamp, id, TrailEvent::Assigned);
-        self.turn(id, phase);
+        self.record_step(context, id, TrailEvent::Assigned);
+        self.set_phase(id, phase);
         Reply::Job(JobReply::Assigned { fence })
     }
 
-    /// Keeps where the next attempt may go on.
-    pub fn checkpoint(
+    /// Stores the checkpoint from which the next attempt may resume.
+    pub fn record_checkpoint(
         &mut self,
-        stamp: Stamp<'_>,
+        context: CommandContext<'_>,
         tombstones: &mut Tombstones,
         id: &JobId,
         fence: Fence,
         data: &[u8],
     ) -> Reply {
-        if let Err(reply) = self.open(id, fence) {
+        if let Err(reply) = self.check_open(id, fence) {
             return reply;
         }
         if data.len() as u64 > MAX_JOB_PART_BYTES {
@@ -191,11 +194,11 @@
                 limit_bytes: MAX_JOB_PART_BYTES,
             });
         }
-        self.shrink(tombstones, stamp.clock_ms, data.len() as u64);
+        self.evict_until_fits(tombstones, context.clock_ms, data.len() as u64);
         if self.bytes + data.len() as u64 > MAX_JOBS_BYTES {
             return Reply::Job(JobReply::Full);
         }
-        self.step(stamp, id, TrailEvent::Checkpoint);
+        self.record_step(context, id, TrailEvent::Checkpoint);
         if let Some(job) = self.by_id.get_mut(id) {
             self.bytes -= job.bytes();
             job.checkpoint = Some(data.to_vec());
@@ -204,77 +207,85 @@
         Reply::Job(JobReply::Noted)
     }
 
-    /// Ends a job with its answer; only the present fence's counts.
+    /// Ends a job with its answer; an answer under another than the current
+    /// fence is rejected.
     ///
-    /// An answer over the limit is kept as its status with an empty body: the
-    /// job did run, and refusing the word of it would run it again.
-    pub fn done(
+    /// An answer over [`MAX_JOB_PART_BYTES`] is replaced by
+    /// [`STATUS_TOO_LARGE`] and a short text: the job did run, and if its
+    /// completion were refused, it would run again.
+    pub fn complete(
         &mut self,
-        stamp: Stamp<'_>,
+        context: CommandContext<'_>,
         tombstones: &mut Tombstones,
         id: &JobId,
         fence: Fence,
         status: u16,
         body: &[u8],
     ) -> Reply {
-        if let Err(reply) = self.open(id, fence) {
+        if let Err(reply) = self.check_open(id, fence) {
             return reply;
         }
-        // Neither a part of the answer nor an empty one: both would pass for
-        // the whole.
+        // Neither a part of the answer nor an empty body is kept: the caller
+        // would take either for the whole answer.
         let (status, body) = if body.len() as u64 > MAX_JOB_PART_BYTES {
-            (STATUS_TOO_LARGE, TOO_LARGE.as_bytes().to_vec())
+            (STATUS_TOO_LARGE, TOO_LARGE_BODY.as_bytes().to_vec())
         } else {
             (status, body.to_vec())
         };
-        self.step(stamp, id, TrailEvent::Answered);
-        self.turn(
+        self.record_step(context, id, TrailEvent::Answered);
+        self.set_phase(
             id,
             JobPhase::Done {
-                at_unix_ms: stamp.clock_ms,
+                at_unix_ms: context.clock_ms,
                 status,
                 body,
             },
         );
-        self.shrink(tombstones, stamp.clock_ms, 0);
+        self.evict_until_fits(tombstones, context.clock_ms, 0);
         Reply::Job(JobReply::Noted)
     }
 
-    /// Makes a job ready again whose attempt certainly did not run.
-    pub fn not_run(&mut self, stamp: Stamp<'_>, id: &JobId, fence: Fence) -> Reply {
-        if let Err(reply) = self.open(id, fence) {
+    /// Makes a job ready again after an attempt that certainly did not run.
+    pub fn record_not_run(
+        &mut self,
+        context: CommandContext<'_>,
+        id: &JobId,
+        fence: Fence,
+    ) -> Reply {
+        if let Err(reply) = self.check_open(id, fence) {
             return reply;
         }
-        self.step(stamp, id, TrailEvent::NotRun);
-        self.again(id);
+        self.record_step(context, id, TrailEvent::NotRun);
+        self.requeue(id);
         Reply::Job(JobReply::Noted)
     }
 
-    /// Settles an attempt of which nobody knows whether it ran.
-    pub fn lost(&mut self, stamp: Stamp<'_>, id: &JobId, fence: Fence) -> Reply {
-        if let Err(reply) = self.open(id, fence) {
+    /// Settles an attempt that may have run.
+    pub fn record_lost(&mut self, context: CommandContext<'_>, id: &JobId, fence: Fence) -> Reply {
+        if let Err(reply) = self.check_open(id, fence) {
             return reply;
         }
-        self.lose(stamp, id, TrailEvent::Lost);
+        self.settle_lost_attempt(context, id, TrailEvent::Lost);
         Reply::Job(JobReply::Noted)
     }
 
-    /// Settles what a lost entry instance was running.
-    pub fn entry_lost(&mut self, stamp: Stamp<'_>, lost: &EntryName, up_to: u64) {
+    /// Settles the attempts that a lost entry instance was running, up to an
+    /// incarnation.
+    pub fn settle_lost_entry(&mut self, context: CommandContext<'_>, lost: &EntryName, up_to: u64) {
         let ids: Vec<JobId> = self
             .assigned()
             .filter(|job| job.is_run_by(lost, up_to))
             .map(|job| job.id.clone())
             .collect();
         for id in ids {
-            self.lose(stamp, &id, TrailEvent::EntryLost);
+            self.settle_lost_attempt(context, &id, TrailEvent::EntryLost);
         }
     }
 
     /// Ends a job that can never run.
     pub fn refuse(
         &mut self,
-        stamp: Stamp<'_>,
+        context: CommandContext<'_>,
         id: &JobId,
         fence: Fence,
         reason: RefusalReason,
@@ -288,19 +299,19 @@
         if job.fence != fence {
             return Reply::StaleFence;
         }
-        self.step(stamp, id, TrailEvent::Refused);
-        self.turn(
+        self.record_step(context, id, TrailEvent::Refused);
+        self.set_phase(
             id,
             JobPhase::Refused {
-                at_unix_ms: stamp.clock_ms,
+                at_unix_ms: context.clock_ms,
                 reason,
             },
         );
         Reply::Job(JobReply::Noted)
     }
 
-    /// Cancels a job that no entry instance has taken yet.
-    pub fn cancel(&mut self, stamp: Stamp<'_>, id: &JobId) -> JobReply {
+    /// Cancels a job that is not assigned.
+    pub fn cancel(&mut self, context: CommandContext<'_>, id: &JobId) -> JobReply {
         let Some(job) = self.by_id.get(id) else {
             return JobReply::NotFound;
         };
@@ -310,28 +321,31 @@
             JobPhase::Cancelled { .. } => return JobReply::Noted,
             _ => return JobReply::Ended,
         }
-        self.step(stamp, id, TrailEvent::Cancelled);
-        self.turn(
+        self.record_step(context, id, TrailEvent::Cancelled);
+        self.set_phase(
             id,
             JobPhase::Cancelled {
-                at_unix_ms: stamp.clock_ms,
+                at_unix_ms: context.clock_ms,
             },
         );
         JobReply::Noted
     }
 
-    /// Forgets jobs that ended more than [`JOB_RETENTION_MS`] ago.
+    /// Evicts jobs that ended [`JOB_RETENTION_MS`] or more ago.
     pub fn expire(&mut self, tombstones: &mut Tombstones, clock_ms: u64) {
         while let Some((at_ms, id)) = self.ended.first().cloned() {
             if at_ms.saturating_add(JOB_RETENTION_MS) > clock_ms {
                 return;
             }
-            self.bury(&id, tombstones, clock_ms);
+            self.evict(&id, tombstones, clock_ms);
         }
     }
 
-    /// Checks that the fence may still say the job's outcome.
-    fn open(&self, id: &JobId, fence: Fence) -> Result<(), Reply> {
+    /// Checks that an outcome of the job is still accepted under this fence.
+    ///
+    /// # Errors
+    /// The reply that rejects it.
+    fn check_open(&self, id: &JobId, fence: Fence) -> Result<(), Reply> {
         let Some(job) = self.by_id.get(id) else {
             return Err(Reply::Job(JobReply::NotFound));
         };
@@ -344,40 +358,41 @@
         Ok(())
     }
 
-    fn lose(&mut self, stamp: Stamp<'_>, id: &JobId, event: TrailEvent) {
-        self.step(stamp, id, event);
+    /// Makes an idempotent job ready again and marks any other as unknown.
+    fn settle_lost_attempt(&mut self, context: CommandContext<'_>, id: &JobId, event: TrailEvent) {
+        self.record_step(context, id, event);
         if self.by_id.get(id).is_some_and(|job| job.idempotent) {
-            self.again(id);
+            self.requeue(id);
         } else {
-            // A second run might post a budget review twice: better no answer
-            // than two. The one attempt may still say its outcome.
-            self.turn(
+            // A second run could post a budget review twice, so the job is not
+            // run again. The attempt may still report its outcome.
+            self.set_phase(
                 id,
                 JobPhase::Unknown {
-                    at_unix_ms: stamp.clock_ms,
+                    at_unix_ms: context.clock_ms,
                 },
             );
         }
     }
 
-    /// Makes a job ready under the next fence: the old attempt, should it still
-    /// run, can no longer commit.
-    fn again(&mut self, id: &JobId) {
+    /// Makes a job ready under the next fence, so that the old attempt can no
+    /// longer report an outcome if it still runs.
+    fn requeue(&mut self, id: &JobId) {
         if let Some(job) = self.by_id.get_mut(id) {
             job.fence = job.fence.next();
         }
-        self.turn(id, JobPhase::Ready);
+        self.set_phase(id, JobPhase::Ready);
     }
 
-    fn step(&mut self, stamp: Stamp<'_>, id: &JobId, event: TrailEvent) {
+    fn record_step(&mut self, context: CommandContext<'_>, id: &JobId, event: TrailEvent) {
         if let Some(job) = self.by_id.get_mut(id) {
-            let step = stamp.step(job.fence, event);
+            let step = context.trail_step(job.fence, event);
             job.trail.push(step);
         }
     }
 
-    /// Changes a job's phase and what hangs on it.
-    fn turn(&mut self, id: &JobId, phase: JobPhase) {
+    /// Changes a job's phase and updates the indexes and the byte count.
+    fn set_phase(&mut self, id: &JobId, phase: JobPhase) {
         let Some(job) = self.by_id.get_mut(id) else {
             return;
         };
@@ -389,7 +404,7 @@
         self.bytes -= job.bytes();
         job.phase = phase;
         if job.ended_ms().is_some() && !job.is_open() {
-            // Ended for good: nobody needs these any more.
+            // No further attempt can start, so these are not needed.
             job.body = Vec::new();
             job.checkpoint = None;
         }
@@ -408,8 +423,8 @@
         }
     }
 
-    /// Drops an ended job; one that may have run leaves a tombstone.
-    fn bury(&mut self, id: &JobId, tombstones: &mut Tombstones, clock_ms: u64) {
+    /// Removes an ended job; if it ran or may have run, adds a tombstone.
+    fn evict(&mut self, id: &JobId, tombstones: &mut Tombstones, clock_ms: u64) {
         let Some(job) = self.by_id.remove(id) else {
             return;
         };
@@ -419,19 +434,20 @@
         self.by_key.remove(&job.key);
         self.bytes -= job.bytes();
         match job.phase {
-            JobPhase::Done { .. } => tombstones.bury(&job.key, Fate::Ran, clock_ms),
-            JobPhase::Unknown { .. } => tombstones.bury(&job.key, Fate::Unknown, clock_ms),
+            JobPhase::Done { .. } => tombstones.insert(&job.key, KeyOutcome::Ran, clock_ms),
+            JobPhase::Unknown { .. } => tombstones.insert(&job.key, KeyOutcome::Unknown, clock_ms),
             _ => {}
         }
     }
 
-    /// Drops the oldest ended jobs until `room_bytes` more would fit.
-    fn shrink(&mut self, tombstones: &mut Tombstones, clock_ms: u64, room_bytes: u64) {
-        while self.bytes + room_bytes > MAX_JOBS_BYTES {
+    /// Evicts the oldest ended jobs until `needed_bytes` more fit in
+    /// [`MAX_JOBS_BYTES`], or no ended job is left.
+    fn evict_until_fits(&mut self, tombstones: &mut Tombstones, clock_ms: u64, needed_bytes: u64) {
+        while self.bytes + needed_bytes > MAX_JOBS_BYTES {
             let Some((_, id)) = self.ended.first().cloned() else {
                 return;
             };
-            self.bury(&id, tombstones, clock_ms);
+            self.evict(&id, tombstones, clock_ms);
         }
     }
 }
--- a/src/state/reply.rs
+++ b/src/state/reply.rs
@@ -6,97 +6,101 @@
 
 use super::{Fence, JobId};
 
-/// What a command brought about; computed alike on every process.
+/// The result of a command; the same on every process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The change is in the state.
+    /// The change was applied.
     Accepted,
-    /// The fleet refused it.
+    /// The fleet refused the command; nothing was changed.
     Fleet(FleetRefusal),
-    /// Rows were refused, cell by cell; nothing was changed.
+    /// Rows were refused, with the errors of their cells; nothing was changed.
     Rows(Vec<CellError>),
     /// The change id was used before with other content; nothing was changed.
     ChangeReused,
-    /// The answer to a claim.
+    /// The reply to a claim.
     Claim(ClaimReply),
-    /// The answer about a patient job.
+    /// The reply to a command about a patient job.
     Job(JobReply),
-    /// Another attempt holds the work now; nothing was changed.
+    /// The fence is not that of the current attempt; nothing was changed.
     StaleFence,
-    /// The entry instance has started anew since, or was never seen.
+    /// The entry instance has restarted since, is lost or was never seen;
+    /// nothing was changed.
     StaleIncarnation,
     /// The command was applied before; its reply was too large to keep.
-    /// Proposing it again under a new sequence is safe for a claim.
+    /// A claim may be proposed again under a new sequence number.
     Duplicate,
-    /// Nothing was done: the command is so old that nobody can tell whether it
-    /// was applied before. Propose it again under a new sequence.
+    /// Nothing was changed: the command is outside the deduplication window, so
+    /// the state cannot tell whether it was applied before. Propose it again
+    /// under a new sequence number.
     Superseded,
-    /// No such instance.
+    /// The fleet has no such instance.
     UnknownInstance,
 }
 
-/// What a claim gets.
+/// The reply to a claim on a request key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// Run it; say the outcome under this fence.
+    /// The proposer may run the request and reports the outcome under this
+    /// fence.
     Granted {
         /// The attempt's fence.
         fence: Fence,
     },
-    /// It is being run.
+    /// The request is running.
     InFlight {
-        /// By whom.
+        /// The entry instance that runs it.
         entry: EntryName,
-        /// Since when, in milliseconds of Unix time.
+        /// When it was granted, in milliseconds of Unix time.
         since_unix_ms: u64,
     },
-    /// It ran; this is its answer.
+    /// The request ran, with this answer.
     Answered {
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// The whole body.
+        /// The whole body of the answer.
         body: Vec<u8>,
     },
-    /// It may or may not have run and is not run again.
+    /// The request may or may not have run and is not run again.
     Unknown,
     /// The key is in use for another request.
     Conflict,
-    /// It ran; its answer is no longer kept.
+    /// The request ran; its answer is no longer kept.
     Expired,
-    /// No room for another claim: it did not run.
+    /// The limit of claims or tombstones is reached; the request did not run.
     Full,
 }
 
-/// What a command about a patient job gets.
+/// The reply to a command about a patient job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobReply {
-    /// The job is in the state under this id (that of its first acceptance).
+    /// The job is accepted under this id, that of its first acceptance.
     Accepted {
-        /// The job.
+        /// The job's id.
         job: JobId,
     },
-    /// The owner may start it under this fence.
+    /// The owner may start the job under this fence.
     Assigned {
         /// The attempt's fence.
         fence: Fence,
     },
-    /// The command is in the state.
+    /// The command was applied.
     Noted,
-    /// It has started, so it was not cancelled.
+    /// The job has started, so it was not cancelled.
     Started,
-    /// It has ended before; nothing was changed.
+    /// The job had already ended; nothing was changed.
     Ended,
-    /// No such job, or no longer kept.
+    /// There is no such job, or it is no longer kept.
     NotFound,
     /// The key is in use for another request.
     Conflict,
     /// The key's job ran; its answer is no longer kept.
     Expired,
-    /// The key's job may have run; it is no longer kept.
+    /// The key's job may have run; the job is no longer kept.
     Unknown,
-    /// No room: it was not taken.
+    /// The limit of jobs, their bytes or tombstones is reached; the job or
+    /// checkpoint was not stored.
     Full,
-    /// Larger than the limit: it was not taken.
+    /// The body or checkpoint is over the limit and was not stored.
     TooLarge {
         /// The limit, in bytes.
         limit_bytes: u64,
@@ -104,7 +108,7 @@
 }
 
 impl Reply {
-    /// Whether it is too large to be kept beside its command's number.
+    /// Whether it is too large to keep for deduplication.
     pub(super) fn is_large(&self) -> bool {
         matches!(
             self,
--- a/src/state/state.rs
+++ b/src/state/state.rs
@@ -8,25 +8,25 @@
 };
 use crate::table;
 
-use super::changes::Changes;
+use super::change_replies::ChangeReplies;
 use super::claims::Claims;
 use super::clock::Clock;
-use super::entries::{Arrival, Entries};
+use super::command_context::CommandContext;
+use super::entries::{CommandStatus, Entries};
 use super::jobs::Jobs;
 use super::rows::Rows;
-use super::stamp::Stamp;
 use super::tombstones::Tombstones;
 use super::{
     Change, Claim, ClaimReply, Command, EntryState, Fingerprint, Job, JobId, JobReply, NewJob,
     Reply, RowChange, RowStep,
 };
 
-/// Everything the entry instances agree on.
+/// The replicated state, on which all entry instances agree.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     clock: Clock,
     entries: Entries,
-    changes: Changes,
+    change_replies: ChangeReplies,
     rows: Rows,
     fleet: Fleet,
     capacities: BTreeMap<InstanceName, Capacity>,
@@ -36,93 +36,97 @@
 }
 
 impl State {
-    /// Applies one command. One that was applied before gets its first reply
-    /// and changes nothing.
+    /// Applies a command and returns its reply. A command that was applied before
+    /// changes nothing and gets its first reply.
     pub fn apply(&mut self, command: &Command) -> Reply {
-        let over = match self.entries.arrive(&command.id) {
-            Arrival::Fresh { over } => over,
-            Arrival::Repeated(Some(reply)) => return reply,
-            Arrival::Repeated(None) => return self.first_reply(&command.change),
-            Arrival::Superseded => return Reply::Superseded,
-            Arrival::StaleIncarnation => return Reply::StaleIncarnation,
+        let ended_incarnation = match self.entries.check_command(&command.id) {
+            CommandStatus::New { ended_incarnation } => ended_incarnation,
+            CommandStatus::Repeated(Some(reply)) => return reply,
+            CommandStatus::Repeated(None) => return self.reply_to_repeated(&command.change),
+            CommandStatus::Superseded => return Reply::Superseded,
+            CommandStatus::StaleIncarnation => return Reply::StaleIncarnation,
         };
         let id = &command.id;
         let clock_ms = self.clock.advance(&id.entry, command.at_unix_ms);
-        let stamp = Stamp {
+        let context = CommandContext {
             entry: &id.entry,
             incarnation: id.incarnation,
             at_unix_ms: command.at_unix_ms,
             clock_ms,
         };
         self.expire(clock_ms);
-        if let Some(incarnation) = over {
-            self.settle(stamp, &id.entry, incarnation);
+        if let Some(incarnation) = ended_incarnation {
+            self.settle_lost_entry(context, &id.entry, incarnation);
         }
-        let reply = self.change(stamp, &command.change);
+        let reply = self.apply_change(context, &command.change);
         let kept = (!reply.is_large()).then(|| reply.clone());
-        self.entries.remember(id, kept);
+        self.entries.record_reply(id, kept);
         reply
     }
 
-    /// The first reply to a command whose reply was too large to keep twice.
-    fn first_reply(&self, change: &Change) -> Reply {
-        let first = match change {
+    /// Returns the reply to a repeated command whose first reply was too large to
+    /// keep for deduplication. The replies to operators' changes of rows are kept
+    /// by change id as well.
+    fn reply_to_repeated(&self, change: &Change) -> Reply {
+        let first_reply = match change {
             Change::PutRows {
                 change,
                 operator,
                 rows,
                 confirm_jump,
             } => digest(&(operator, rows, confirm_jump))
-                .and_then(|content| self.changes.replay(change, content)),
+                .and_then(|content| self.change_replies.replay(change, content)),
             _ => None,
         };
-        first.unwrap_or(Reply::Duplicate)
+        first_reply.unwrap_or(Reply::Duplicate)
     }
 
-    fn change(&mut self, stamp: Stamp<'_>, change: &Change) -> Reply {
+    fn apply_change(&mut self, context: CommandContext<'_>, change: &Change) -> Reply {
         match change {
             Change::PutRows {
                 change,
                 operator,
                 rows,
                 confirm_jump,
-            } => self.put_rows(stamp, change, operator, rows, *confirm_jump),
+            } => self.put_rows(context, change, operator, rows, *confirm_jump),
             Change::Fleet {
                 change,
                 by,
                 command,
-            } => self.change_fleet(stamp, change.as_ref(), by, command),
+            } => self.apply_fleet_command(context, change.as_ref(), by, command),
             Change::Capacity { instance, capacity } => self.set_capacity(instance, *capacity),
             Change::EntrySeen { zone } => {
-                self.entries.seen(stamp.entry, zone);
+                self.entries.set_zone(context.entry, zone);
                 Reply::Accepted
             }
-            Change::EntryLost { entry, incarnation } => self.entry_lost(stamp, entry, *incarnation),
+            Change::EntryLost { entry, incarnation } => {
+                self.mark_entry_lost(context, entry, *incarnation)
+            }
             Change::Claim { .. }
             | Change::ClaimAnswer { .. }
             | Change::ClaimRelease { .. }
-            | Change::ClaimUnknown { .. } => self.change_claim(stamp, change),
-            _ => self.change_job(stamp, change),
+            | Change::ClaimUnknown { .. } => self.apply_claim_change(context, change),
+            _ => self.apply_job_change(context, change),
         }
     }
 
-    fn change_claim(&mut self, stamp: Stamp<'_>, change: &Change) -> Reply {
+    fn apply_claim_change(&mut self, context: CommandContext<'_>, change: &Change) -> Reply {
         match change {
             Change::Claim {
                 key,
                 fingerprint,
                 request,
             } => {
-                // A key that stands for a patient job is not free for a claim.
-                if self.jobs.of_key(key).is_some() {
+                // The key of a patient job cannot be claimed.
+                if self.jobs.get_by_key(key).is_some() {
                     return Reply::Claim(ClaimReply::Conflict);
                 }
-                let promised = self.promised();
+                let reserved = self.reserved_tombstones();
                 let claims = &mut self.claims;
                 Reply::Claim(claims.claim(
-                    stamp,
+                    context,
                     &self.tombstones,
-                    promised,
+                    reserved,
                     key,
                     *fingerprint,
                     *request,
@@ -133,19 +137,20 @@
                 fence,
                 status,
                 body,
-            } => self
-                .claims
-                .answer(stamp, &mut self.tombstones, key, *fence, *status, body),
+            } => {
+                self.claims
+                    .record_answer(context, &mut self.tombstones, key, *fence, *status, body)
+            }
             Change::ClaimRelease { key, fence } => self.claims.release(key, *fence),
-            Change::ClaimUnknown { key, fence } => self.claims.unknown(stamp, key, *fence),
+            Change::ClaimUnknown { key, fence } => self.claims.mark_unknown(context, key, *fence),
             _ => Reply::Duplicate,
         }
     }
 
-    fn change_job(&mut self, stamp: Stamp<'_>, change: &Change) -> Reply {
+    fn apply_job_change(&mut self, context: CommandContext<'_>, change: &Change) -> Reply {
         let jobs = &mut self.jobs;
         match change {
-            Change::JobAccept(new) => Reply::Job(self.accept_job(stamp, new)),
+            Change::JobAccept(new) => Reply::Job(self.accept_job(context, new)),
             Change::JobAssign {
                 job,
                 fence,
@@ -155,36 +160,37 @@
                 if !self.entries.is_present(owner, *incarnation) {
                     return Reply::StaleIncarnation;
                 }
-                jobs.assign(stamp, job, *fence, owner, *incarnation)
+                jobs.assign(context, job, *fence, owner, *incarnation)
             }
             Change::JobCheckpoint { job, fence, data } => {
-                jobs.checkpoint(stamp, &mut self.tombstones, job, *fence, data)
+                jobs.record_checkpoint(context, &mut self.tombstones, job, *fence, data)
             }
             Change::JobDone {
                 job,
                 fence,
                 status,
                 body,
-            } => jobs.done(stamp, &mut self.tombstones, job, *fence, *status, body),
-            Change::JobNotRun { job, fence } => jobs.not_run(stamp, job, *fence),
-            Change::JobLost { job, fence } => jobs.lost(stamp, job, *fence),
-            Change::JobRefused { job, fence, reason } => jobs.refuse(stamp, job, *fence, *reason),
-            Change::JobCancel { job } => Reply::Job(jobs.cancel(stamp, job)),
+            } => jobs.complete(context, &mut self.tombstones, job, *fence, *status, body),
+            Change::JobNotRun { job, fence } => jobs.record_not_run(context, job, *fence),
+            Change::JobLost { job, fence } => jobs.record_lost(context, job, *fence),
+            Change::JobRefused { job, fence, reason } => jobs.refuse(context, job, *fence, *reason),
+            Change::JobCancel { job } => Reply::Job(jobs.cancel(context, job)),
             _ => Reply::Duplicate,
         }
     }
 
-    fn accept_job(&mut self, stamp: Stamp<'_>, new: &NewJob) -> JobReply {
+    fn accept_job(&mut self, context: CommandContext<'_>, new: &NewJob) -> JobReply {
         if self.claims.get(&new.key).is_some() {
             return JobReply::Conflict;
         }
-        let promised = self.promised();
-        self.jobs.accept(stamp, &mut self.tombstones, promised, new)
+        let reserved = self.reserved_tombstones();
+        self.jobs
+            .accept(context, &mut self.tombstones, reserved, new)
     }
 
     fn put_rows(
         &mut self,
-        stamp: Stamp<'_>,
+        context: CommandContext<'_>,
         change: &ChangeId,
         operator: &str,
         rows: &[RowChange],
@@ -193,51 +199,52 @@
         let Some(content) = digest(&(operator, rows, confirm_jump)) else {
             return Reply::ChangeReused;
         };
-        if let Some(reply) = self.changes.replay(change, content) {
+        if let Some(reply) = self.change_replies.replay(change, content) {
             return reply;
         }
         let errors = table::check(rows, confirm_jump, self);
         let reply = if errors.is_empty() {
             for row in rows {
-                self.rows.put(row, change, operator, stamp.at_unix_ms);
+                self.rows.put(row, change, operator, context.at_unix_ms);
             }
             Reply::Accepted
         } else {
             Reply::Rows(errors)
         };
-        self.changes.keep(change, content, reply.clone());
+        self.change_replies.record(change, content, reply.clone());
         reply
     }
 
-    fn change_fleet(
+    fn apply_fleet_command(
         &mut self,
-        stamp: Stamp<'_>,
+        context: CommandContext<'_>,
         change: Option<&ChangeId>,
         by: &str,
         command: &FleetCommand,
     ) -> Reply {
-        let used = match change {
+        let change_and_content = match change {
             None => None,
             Some(change) => match digest(&(by, command)) {
                 None => return Reply::ChangeReused,
                 Some(content) => Some((change, content)),
             },
         };
-        if let Some((change, content)) = used
-            && let Some(reply) = self.changes.replay(change, content)
+        if let Some((change, content)) = change_and_content
+            && let Some(reply) = self.change_replies.replay(change, content)
         {
             return reply;
         }
-        let reply = match self.fleet.apply(stamp.at_unix_ms, command) {
+        let reply = match self.fleet.apply(context.at_unix_ms, command) {
             Ok(()) => Reply::Accepted,
             Err(refusal) => Reply::Fleet(refusal),
         };
         if self.capacities.len() > self.fleet.instances().len() {
-            let there = self.fleet.instances();
-            self.capacities.retain(|name, _| there.contains_key(name));
+            let instances = self.fleet.instances();
+            self.capacities
+                .retain(|name, _| instances.contains_key(name));
         }
-        if let Some((change, content)) = used {
-            self.changes.keep(change, content, reply.clone());
+        if let Some((change, content)) = change_and_content {
+            self.change_replies.record(change, content, reply.clone());
         }
         reply
     }
@@ -250,19 +257,30 @@
         Reply::Accepted
     }
 
-    fn entry_lost(&mut self, stamp: Stamp<'_>, entry: &EntryName, incarnation: u64) -> Reply {
-        if !self.entries.lose(entry, incarnation) {
+    fn mark_entry_lost(
+        &mut self,
+        context: CommandContext<'_>,
+        entry: &EntryName,
+        incarnation: u64,
+    ) -> Reply {
+        if !self.entries.mark_lost(entry, incarnation) {
             return Reply::StaleIncarnation;
         }
-        self.clock.forget(entry);
-        self.settle(stamp, entry, incarnation);
+        self.clock.remove(entry);
+        self.settle_lost_entry(context, entry, incarnation);
         Reply::Accepted
     }
 
-    /// Settles what an entry instance had in flight up to an incarnation.
-    fn settle(&mut self, stamp: Stamp<'_>, entry: &EntryName, incarnation: u64) {
-        self.claims.entry_lost(stamp, entry, incarnation);
-        self.jobs.entry_lost(stamp, entry, incarnation);
+    /// Settles the claims and jobs that an entry instance had in flight, up to an
+    /// incarnation.
+    fn settle_lost_entry(
+        &mut self,
+        context: CommandContext<'_>,
+        entry: &EntryName,
+        incarnation: u64,
+    ) {
+        self.claims.settle_lost_entry(context, entry, incarnation);
+        self.jobs.settle_lost_entry(context, entry, incarnation);
     }
 
     fn expire(&mut self, clock_ms: u64) {
@@ -271,76 +289,77 @@
         self.tombstones.expire(clock_ms);
     }
 
-    /// Keys that may still need a tombstone.
-    fn promised(&self) -> usize {
+    /// The number of keys that may still need a tombstone.
+    fn reserved_tombstones(&self) -> usize {
         self.claims.len() + self.jobs.len()
     }
 
-    /// Rows in force.
+    /// The rows in force.
     pub fn rows(&self) -> &BTreeMap<RowKey, VersionedRow> {
         self.rows.live()
     }
 
-    /// A row's version, also of a removed one; 0 if there never was one.
+    /// Returns the version of a row, also of a removed one; 0 if the row is
+    /// unknown.
     pub fn row_version(&self, key: &RowKey) -> u64 {
         self.rows.version(key)
     }
 
-    /// The kept changes of a row, oldest first.
+    /// The changes kept of a row, oldest first.
     pub fn row_trail(&self, key: &RowKey) -> impl Iterator<Item = &RowStep> {
         self.rows.trail(key)
     }
 
-    /// Pools, instances and waves.
+    /// The pools, instances and waves.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// What the instances say they can carry.
+    /// The capacities that the instances report.
     pub fn capacities(&self) -> &BTreeMap<InstanceName, Capacity> {
         &self.capacities
     }
 
-    /// Entry instances by name.
+    /// The entry instances by name.
     pub fn entries(&self) -> &BTreeMap<EntryName, EntryState> {
         self.entries.by_name()
     }
 
-    /// Availability zones that an entry instance or an upstream is in.
+    /// The availability zones that have an entry instance or an upstream.
     pub fn zones(&self) -> BTreeSet<&ZoneName> {
         let entries = self.entries().values().filter_map(|e| e.zone.as_ref());
         let instances = self.fleet.instances().values().map(|i| &i.zone);
         entries.chain(instances).collect()
     }
 
-    /// The claim on a key, if it is kept.
+    /// Returns the claim on a key, if it is kept.
     pub fn claim(&self, key: &RequestKey) -> Option<&Claim> {
         self.claims.get(key)
     }
 
-    /// The job of an id, if it is kept.
+    /// Returns the job with this id, if it is kept.
     pub fn job(&self, id: &JobId) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// The job of a key, if it is kept.
-    pub fn job_of_key(&self, key: &RequestKey) -> Option<&Job> {
-        self.jobs.of_key(key)
+    /// Returns the job with this key, if it is kept.
+    pub fn job_by_key(&self, key: &RequestKey) -> Option<&Job> {
+        self.jobs.get_by_key(key)
     }
 
-    /// Jobs that wait to be assigned, in the order of their acceptance.
+    /// The jobs that wait to be assigned, in the order of their acceptance.
     pub fn ready_jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.ready()
     }
 
-    /// Jobs that this start of an entry instance is to run.
+    /// The jobs assigned to this incarnation of an entry instance.
     pub fn jobs_owned(&self, by: &EntryName, incarnation: u64) -> impl Iterator<Item = &Job> {
         self.jobs
             .assigned()
-            .filter(move |job| job.is_owned(by, incarnation))
+            .filter(move |job| job.is_owned_by(by, incarnation))
     }
 
-    /// What the state holds of keys and jobs.
+    /// Returns how many keys and jobs the state holds, and their sizes.
     pub fn usage(&self) -> Usage {
         Usage {
             claims: self.claims.len(),
@@ -352,22 +371,22 @@
     }
 }
 
-/// How much the state holds, for metrics.
+/// Numbers and sizes of the keys and jobs in the state, for metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Usage {
-    /// Claims kept, in flight or ended.
+    /// Number of claims kept, in flight or ended.
     pub claims: usize,
-    /// Bytes of stored answers.
+    /// Total size of the stored answers, in bytes.
     pub answer_bytes: u64,
-    /// Patient jobs kept, open or ended.
+    /// Number of patient jobs kept, open or ended.
     pub jobs: usize,
-    /// Bytes of jobs' bodies, checkpoints and answers.
+    /// Total size of the jobs' bodies, checkpoints and answers, in bytes.
     pub job_bytes: u64,
-    /// Used keys remembered without an answer.
+    /// Number of tombstones: used keys whose answer is no longer kept.
     pub tombstones: usize,
 }
 
-/// Digest of a change's content; none if it has no encoding.
+/// Returns the digest of a change's content; none if it has no encoding.
 fn digest(content: &impl Serialize) -> Option<Fingerprint> {
     bincode::serde::encode_to_vec(content, bincode::config::standard())
         .ok()
--- a/src/state/trail.rs
+++ b/src/state/trail.rs
@@ -6,11 +6,12 @@
 
 use super::Fence;
 
-/// Steps kept of one key or job. A healthy one has three; twelve still show
-/// the last attempts of one that is tried over and over.
-pub const TRAIL_STEPS: usize = 12;
+/// Largest number of steps kept of one key or job. An ordinary one has three;
+/// twelve still show the last attempts of one that is retried many times.
+pub const MAX_TRAIL_STEPS: usize = 12;
 
-/// What happened to one key or job, for `explain`; the oldest steps go first.
+/// Audit trail of one key or job, for the `explain` command. Over
+/// [`MAX_TRAIL_STEPS`] the oldest steps are dropped first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trail {
     steps: VecDeque<TrailStep>,
@@ -20,68 +21,68 @@
 /// One step of a trail.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrailStep {
-    /// When, in milliseconds of Unix time as the proposer saw it.
+    /// Time of the step on the proposer's clock, in milliseconds of Unix time.
     pub at_unix_ms: u64,
     /// The entry instance that proposed it.
     pub by: EntryName,
-    /// The fence it was under.
+    /// The fence of the attempt.
     pub fence: Fence,
-    /// What happened.
+    /// The event.
     pub event: TrailEvent,
 }
 
-/// What happened to a key or job.
+/// An event in the life of a key or job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum TrailEvent {
-    /// A key was granted.
+    /// A claim on the key was granted.
     #[display("granted")]
     Granted,
-    /// A job was taken in.
+    /// The job was accepted.
     #[display("accepted")]
     Accepted,
-    /// A job was given to an entry instance.
+    /// The job was assigned to an entry instance.
     #[display("assigned")]
     Assigned,
-    /// An attempt left a checkpoint.
+    /// An attempt stored a checkpoint.
     #[display("checkpoint")]
     Checkpoint,
-    /// It finished.
+    /// The attempt finished and its answer was stored.
     #[display("answered")]
     Answered,
-    /// An attempt certainly did not run.
+    /// The attempt certainly did not run.
     #[display("not-run")]
     NotRun,
-    /// Nobody knows whether an attempt ran.
+    /// The attempt may have run.
     #[display("lost")]
     Lost,
-    /// The entry instance that had it is gone.
+    /// The entry instance that ran the attempt was lost.
     #[display("entry-lost")]
     EntryLost,
-    /// It can never run.
+    /// The job was refused because it can never run.
     #[display("refused")]
     Refused,
-    /// The caller cancelled it before its start.
+    /// The caller cancelled the job before an attempt started.
     #[display("cancelled")]
     Cancelled,
 }
 
 impl Trail {
-    /// Adds a step; the oldest is dropped over [`TRAIL_STEPS`].
+    /// Adds a step and drops the oldest one over [`MAX_TRAIL_STEPS`].
     pub(super) fn push(&mut self, step: TrailStep) {
-        if self.steps.len() == TRAIL_STEPS {
+        if self.steps.len() == MAX_TRAIL_STEPS {
             self.steps.pop_front();
             self.dropped += 1;
         }
         self.steps.push_back(step);
     }
 
-    /// The steps, oldest first.
+    /// The steps kept, oldest first.
     pub fn steps(&self) -> impl Iterator<Item = &TrailStep> {
         self.steps.iter()
     }
 
-    /// Steps that are no longer kept.
+    /// The number of steps that were dropped.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
--- a/tests/state/main.rs
+++ b/tests/state/main.rs
@@ -1,5 +1,6 @@
-//! The replicated state: rows, claims, patient jobs and snapshots, against naive
-//! models and under races, resends and losses. Seeds are fixed.
+//! Tests of the replicated state: rows, claims, patient jobs and snapshots under
+//! races, repeated commands and lost entry instances, also compared with naive
+//! models. Seeds are fixed.
 #![allow(missing_docs, clippy::unwrap_used)]
 
 mod claims;
@@ -11,17 +12,19 @@
 use rosemarygauge::model::*;
 use rosemarygauge::state::*;
 
-pub const T0: u64 = 1_700_000_000_000;
+/// Time of the first command, in milliseconds of Unix time.
+pub const START_UNIX_MS: u64 = 1_700_000_000_000;
 
-/// A state with its own counter of proposals for each entry instance.
+/// A state and the sequence number of the last command, which all entry
+/// instances share.
 #[derive(Clone, Default)]
-pub struct Bench {
+pub struct Harness {
     pub state: State,
     pub sequence: u64,
 }
 
-impl Bench {
-    pub fn command(&mut self, entry: &str, at: u64, change: Change) -> Command {
+impl Harness {
+    pub fn command(&mut self, entry: &str, at_ms: u64, change: Change) -> Command {
         self.sequence += 1;
         let id = CommandId {
             entry: entry.into(),
@@ -30,20 +33,20 @@
         };
         Command {
             id,
-            at_unix_ms: T0 + at,
+            at_unix_ms: START_UNIX_MS + at_ms,
             change,
         }
     }
 
-    pub fn run(&mut self, entry: &str, at: u64, change: Change) -> Reply {
-        let command = self.command(entry, at, change);
+    pub fn apply(&mut self, entry: &str, at_ms: u64, change: Change) -> Reply {
+        let command = self.command(entry, at_ms, change);
         self.state.apply(&command)
     }
 
-    /// One pool with one service `scoring`, two instances of 8 slots in each of
+    /// A state with one pool with one service `scoring`, two instances of 8 slots in each of
     /// the zones `a`, `b`, and a budget of four available instances.
-    pub fn furnished() -> Self {
-        let mut bench = Self::default();
+    pub fn with_pool() -> Self {
+        let mut harness = Self::default();
         let pool = Pool {
             name: "scoring".into(),
             budget: Budget {
@@ -61,17 +64,19 @@
                 },
             }],
         };
-        bench.fleet(FleetCommand::PutPool { pool });
+        harness.fleet(FleetCommand::PutPool { pool });
         for (name, zone) in [("a1", "a"), ("a2", "a"), ("b1", "b"), ("b2", "b")] {
             let instance: InstanceName = name.into();
-            bench.fleet(FleetCommand::Join {
+            harness.fleet(FleetCommand::Join {
                 instance: instance.clone(),
                 zone: zone.into(),
                 rack: name.into(),
                 pool: "scoring".into(),
             });
             if name == "b2" {
-                continue; // Has not spoken yet: counts as the largest that has.
+                // Without a reported capacity it counts as large as the largest
+                // instance that reported one.
+                continue;
             }
             let capacity = Capacity {
                 cores: 16,
@@ -81,11 +86,11 @@
                 connections: 64,
             };
             assert_eq!(
-                bench.run("e", 0, Change::Capacity { instance, capacity }),
+                harness.apply("e", 0, Change::Capacity { instance, capacity }),
                 Reply::Accepted
             );
         }
-        bench
+        harness
     }
 
     fn fleet(&mut self, command: FleetCommand) {
@@ -94,7 +99,7 @@
             by: "test".into(),
             command,
         };
-        assert_eq!(self.run("e", 0, change), Reply::Accepted);
+        assert_eq!(self.apply("e", 0, change), Reply::Accepted);
     }
 }
 
--- a/tests/state/snapshot.rs
+++ b/tests/state/snapshot.rs
@@ -1,34 +1,34 @@
-//! A snapshot gives the same state, and damaged bytes give an error.
+//! A snapshot decodes to the same state, and damaged bytes give an error.
 
 use rosemarygauge::state::*;
 
-use super::{Bench, put, service_row};
+use super::{Harness, put, service_row};
 
-fn full() -> State {
-    let mut bench = Bench::furnished();
-    bench.run("e", 1, put("c1", vec![service_row("a", 0, 10, 8)]));
-    bench.run("e", 2, put("c2", vec![service_row("a", 0, 10, 8)]));
-    bench.run("f", 3, super::claims::claim("k", 1));
-    bench.run("f", 4, super::jobs::accept("j", true));
-    bench.state
+fn filled_state() -> State {
+    let mut harness = Harness::with_pool();
+    harness.apply("e", 1, put("c1", vec![service_row("a", 0, 10, 8)]));
+    harness.apply("e", 2, put("c2", vec![service_row("a", 0, 10, 8)]));
+    harness.apply("f", 3, super::claims::claim("k", 1));
+    harness.apply("f", 4, super::jobs::accept("j", true));
+    harness.state
 }
 
 #[test]
 fn a_snapshot_gives_the_same_state() {
-    let state = full();
+    let state = filled_state();
     let bytes = state.encode().unwrap();
-    let again = State::decode(&bytes).unwrap();
-    assert_eq!(again, state);
-    assert_eq!(again.encode().unwrap(), bytes);
-    assert_eq!(again.hash().unwrap(), full().hash().unwrap());
+    let decoded = State::decode(&bytes).unwrap();
+    assert_eq!(decoded, state);
+    assert_eq!(decoded.encode().unwrap(), bytes);
+    assert_eq!(decoded.hash().unwrap(), filled_state().hash().unwrap());
 }
 
-// A snapshot file is cut or a bit in it flips, and the process starts from it.
-// It must start with the whole state or stop with an error, never panic, and
-// never ask for the terabytes that a damaged length promises.
+// A process starts from a snapshot file that is truncated or has a flipped bit.
+// It must start with the whole state or stop with an error; it must not panic or
+// allocate the terabytes that a damaged length field asks for.
 #[test]
 fn damaged_snapshots_are_errors() {
-    let bytes = full().encode().unwrap();
+    let bytes = filled_state().encode().unwrap();
     for cut in 0..bytes.len() {
         assert!(State::decode(&bytes[..cut]).is_err(), "cut at {cut}");
     }
