--- a/src/jobs/ending.rs
+++ b/src/jobs/ending.rs
@@ -1,25 +1,26 @@
 use serde::{Deserialize, Serialize};
 
-/// How a run of a task ended.
+/// The result of a run of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ending {
-    /// It did its work.
+    /// The run completed its work.
     #[display("done")]
     Done,
-    /// It failed, by its own fault or its worker's. Counts as an attempt.
+    /// The run failed, by its own fault or its worker's. Counts towards
+    /// [`Job::attempts_max`](super::Job::attempts_max).
     #[display("failed")]
     Failed,
-    /// It was stopped by order.
+    /// The run was stopped by an order.
     #[display("stopped")]
     Stopped,
-    /// Its lease ran out.
+    /// The run's lease expired.
     #[display("lapsed")]
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another task of its gang ended.
     #[display("broken")]
     Broken,
-    /// The other members of its gang did not come in time.
+    /// The other tasks of its gang did not start in time.
     #[display("alone")]
     Alone,
 }
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -6,36 +6,38 @@
 use super::{Ending, JobId, JobSpec, JobState, Occurrence, Run, Task, TaskId};
 use crate::model::{InstanceName, PoolName};
 
-/// An accepted job and how far it is.
+/// An accepted job and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// Its name.
+    /// The job's id.
     pub id: JobId,
-    /// The name of the queue that took it in.
+    /// The name of the queue that accepted it.
     pub queue: String,
     /// The pool that runs it.
     pub pool: PoolName,
-    /// What it is.
+    /// The job as its caller submitted it.
     pub spec: Arc<JobSpec>,
-    /// When it was accepted, in milliseconds since 1970.
+    /// When it was accepted, in milliseconds of Unix time.
     pub accepted_unix_ms: u64,
-    /// How often a task may fail.
+    /// The number of failures of one task after which the job fails; lasting tasks
+    /// may fail any number of times.
     pub attempts_max: u32,
-    /// Why nothing of it starts any more.
+    /// The final state, after which no task starts; none while the job is active.
     pub verdict: Option<JobState>,
-    /// When it came to its verdict, in milliseconds since 1970.
+    /// When it reached its final state, in milliseconds of Unix time.
     pub ended_unix_ms: Option<u64>,
-    /// When its first task was placed, in milliseconds since 1970.
+    /// When its first task was placed, in milliseconds of Unix time.
     pub started_unix_ms: Option<u64>,
-    /// How often one of its tasks was placed.
+    /// The number of times that a task of it was placed.
     pub placements: u32,
+    /// The occurrences that are due and not removed as done.
     occurrences: BTreeMap<u32, Occurrence>,
-    /// All occurrences below this one are done.
+    /// All occurrences below this one are done and removed.
     done_below: u32,
 }
 
 impl Job {
-    /// A job of which nothing has started.
+    /// Returns a job of which no task has started.
     pub fn new(
         id: JobId,
         queue: String,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// How far it is, as its caller sees it.
+    /// The state that its caller sees.
     pub fn state(&self) -> JobState {
         match self.verdict {
             Some(verdict) => verdict,
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Brings into being the occurrences that are due.
+    /// Creates an occurrence that has come due, unless it exists or is done.
     pub fn make_due(&mut self, occurrence: u32) {
         if occurrence >= self.done_below && occurrence < self.spec.occurrences() {
             let spec = &self.spec;
@@ -79,10 +81,11 @@
         }
     }
 
-    /// The next occurrence that has not come into being, with its due time.
+    /// The next occurrence that is not created yet, with its due time in
+    /// milliseconds of Unix time; none if there is no other or the job is final.
     pub fn next_due(&self) -> Option<(u32, u64)> {
         let last = self.occurrences.keys().next_back();
-        let next = last.map_or(self.done_below, |k| k + 1);
+        let next = last.map_or(self.done_below, |number| number + 1);
         if self.verdict.is_some() || next >= self.spec.occurrences() {
             return None;
         }
@@ -90,28 +93,28 @@
         Some((next, due_unix_ms))
     }
 
-    /// When an occurrence was due, in milliseconds since 1970.
+    /// When an occurrence is due, in milliseconds of Unix time.
     pub fn due_unix_ms(&self, occurrence: u32) -> u64 {
         let recurrence = self.spec.recurrence;
         recurrence.map_or(self.accepted_unix_ms, |r| r.due_unix_ms(occurrence))
     }
 
-    /// The occurrences that are due and not done.
+    /// The occurrences that are due and not removed as done, with their numbers.
     pub fn occurrences(&self) -> impl Iterator<Item = (u32, &Occurrence)> {
-        self.occurrences.iter().map(|(k, o)| (*k, o))
+        self.occurrences.iter().map(|(number, o)| (*number, o))
     }
 
-    /// An occurrence that is due and not done.
+    /// Returns an occurrence, if it is due and not removed as done.
     pub fn occurrence(&self, occurrence: u32) -> Option<&Occurrence> {
         self.occurrences.get(&occurrence)
     }
 
-    /// A task, if it is due and its occurrence not done.
+    /// Returns a task, if its occurrence is due and not removed as done.
     pub fn task(&self, id: TaskId) -> Option<&Task> {
         self.occurrence(id.occurrence)?.task(id.step, id.index)
     }
 
-    /// Every run that may be going on.
+    /// Every run that may be in progress.
     pub fn runs(&self) -> impl Iterator<Item = (TaskId, &Run)> {
         self.occurrences().flat_map(move |(occurrence, o)| {
             o.tasks().flat_map(move |(step, index, task)| {
@@ -126,7 +129,9 @@
         })
     }
 
-    /// Notes an order to start; `false` if the task must not start.
+    /// Records that an attempt at a task is placed on a worker. Returns `false` if
+    /// the task must not start: the job is final, the task is done, the attempt
+    /// is outdated, or the task is running and may not have copies.
     pub fn place(
         &mut self,
         now_unix_ms: u64,
@@ -159,13 +164,14 @@
         true
     }
 
-    /// Notes that an order to start came to nothing and never will.
+    /// Removes a run whose order to start had no effect and never will. Returns
+    /// `false` if the run is not recorded.
     pub fn unplace(&mut self, id: TaskId, attempt: u32, worker: &InstanceName) -> bool {
         self.task_mut(id)
-            .is_some_and(|task| take_run(task, attempt, worker))
+            .is_some_and(|task| remove_run(task, attempt, worker))
     }
 
-    /// Notes the end of a run; `false` if it was not known to go on.
+    /// Records the end of a run. Returns `false` if the run is not recorded.
     pub fn end(
         &mut self,
         id: TaskId,
@@ -188,7 +194,7 @@
         let Some(task) = self.task_mut(id) else {
             return false;
         };
-        if !take_run(task, attempt, worker) {
+        if !remove_run(task, attempt, worker) {
             return false;
         }
         if !checkpoint.is_empty() {
@@ -206,13 +212,14 @@
             _ => {}
         }
         if gang {
-            self.share_in_gang(id, ending, checkpoint);
+            self.apply_to_gang(id, ending, checkpoint);
         }
         true
     }
 
-    /// Members of a gang end and resume together: one end stands for all.
-    fn share_in_gang(&mut self, id: TaskId, ending: Ending, checkpoint: &str) {
+    /// Applies the end of one task to its whole gang, whose tasks end and resume
+    /// together.
+    fn apply_to_gang(&mut self, id: TaskId, ending: Ending, checkpoint: &str) {
         let count = self.spec.steps[usize::from(id.step)].tasks;
         for index in 0..count {
             let Some(task) = self.task_mut(TaskId { index, ..id }) else {
@@ -227,19 +234,19 @@
         }
     }
 
-    /// Completes the job or its occurrences where everything is done.
+    /// Removes the occurrences that are done, and completes the job if all are.
     pub fn settle(&mut self, now_unix_ms: u64) {
         while let Some(first) = self.occurrences.first_entry() {
-            let ended = first.get().tasks().all(|(_, _, t)| t.runs.is_empty());
-            if !first.get().is_done() || !ended || *first.key() != self.done_below {
+            let no_runs = first.get().tasks().all(|(_, _, t)| t.runs.is_empty());
+            if !first.get().is_done() || !no_runs || *first.key() != self.done_below {
                 break;
             }
             first.remove();
             self.done_below += 1;
         }
         let all_done = self.occurrences.values().all(Occurrence::is_done);
-        let reached = self.done_below + self.occurrences.len() as u32;
-        if self.verdict.is_none() && all_done && reached >= self.spec.occurrences() {
+        let created = self.done_below + self.occurrences.len() as u32;
+        if self.verdict.is_none() && all_done && created >= self.spec.occurrences() {
             self.verdict = Some(JobState::Completed);
         }
         if self.verdict.is_some() {
@@ -247,18 +254,18 @@
         }
     }
 
-    /// Whether no run of it may be going on.
+    /// Whether no run of it may be in progress.
     pub fn is_quiet(&self) -> bool {
         self.runs().next().is_none()
     }
 
-    /// Frees all runs on a worker that provably ended with them.
+    /// Removes all runs on a worker whose end is proved, and returns their number.
     pub fn lapse(&mut self, worker: &InstanceName) -> usize {
-        let mut freed = 0;
+        let mut removed = 0;
         for occurrence in self.occurrences.values_mut() {
-            freed += occurrence.lapse(worker);
+            removed += occurrence.lapse(worker);
         }
-        freed
+        removed
     }
 
     fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
@@ -268,9 +275,10 @@
     }
 }
 
-fn take_run(task: &mut Task, attempt: u32, worker: &InstanceName) -> bool {
-    let before = task.runs.len();
+/// Removes a run; returns `false` if the task has no such run.
+fn remove_run(task: &mut Task, attempt: u32, worker: &InstanceName) -> bool {
+    let count_before = task.runs.len();
     task.runs
         .retain(|run| run.attempt != attempt || run.worker != *worker);
-    task.runs.len() < before
+    task.runs.len() < count_before
 }
--- a/src/jobs/job_state.rs
+++ b/src/jobs/job_state.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// How far a job is, as its caller sees it.
+/// The state of a job that its caller sees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobState {
@@ -10,10 +10,10 @@
     /// A task has started.
     #[display("running")]
     Running,
-    /// All tasks of all occurrences ended as done.
+    /// All tasks of all occurrences are done.
     #[display("completed")]
     Completed,
-    /// A task failed as often as its queue allows.
+    /// A task reached the number of failures that its queue allows.
     #[display("failed")]
     Failed,
     /// The caller cancelled it.
@@ -22,7 +22,7 @@
 }
 
 impl JobState {
-    /// Whether nothing of the job starts any more.
+    /// Whether the state is final: no task of the job starts any more.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,8 +1,9 @@
-//! Jobs: what callers hand in, as steps of tasks that depend on one another, and
-//! how far each of them is.
+//! Jobs that callers submit, as steps of tasks that depend on one another, and the
+//! progress of each job.
 //!
-//! Plain data without clock or network. A job changes only through the replicated
-//! state, so every control instance sees the same attempts in the same order.
+//! These are plain data without clock or network. A job changes only through the
+//! replicated state, so every control instance sees the same attempts in the same
+//! order.
 
 mod ending;
 mod job;
--- a/src/jobs/occurrence.rs
+++ b/src/jobs/occurrence.rs
@@ -3,14 +3,14 @@
 use super::{JobSpec, Task};
 use crate::model::InstanceName;
 
-/// One occurrence of a job: its tasks, step by step.
+/// One occurrence of a job: the progress of its tasks, by step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Occurrence {
     steps: Vec<Vec<Task>>,
 }
 
 impl Occurrence {
-    /// Nothing of it has started.
+    /// Returns an occurrence of which no task has started.
     pub fn new(spec: &JobSpec) -> Self {
         let tasks = |tasks: u16| vec![Task::default(); usize::from(tasks)];
         Self {
@@ -18,23 +18,23 @@
         }
     }
 
-    /// The tasks of a step.
+    /// The tasks of a step; empty if there is no such step.
     pub fn step(&self, step: usize) -> &[Task] {
         self.steps.get(step).map_or(&[], Vec::as_slice)
     }
 
-    /// A task, if there is one.
+    /// Returns a task, if it exists.
     pub fn task(&self, step: u16, index: u16) -> Option<&Task> {
         self.step(usize::from(step)).get(usize::from(index))
     }
 
-    /// A task to change, if there is one.
+    /// Returns a task for changes, if it exists.
     pub fn task_mut(&mut self, step: u16, index: u16) -> Option<&mut Task> {
         let step = self.steps.get_mut(usize::from(step))?;
         step.get_mut(usize::from(index))
     }
 
-    /// All tasks with their steps and places.
+    /// All tasks, each with its step and its index there.
     pub fn tasks(&self) -> impl Iterator<Item = (u16, u16, &Task)> {
         self.steps.iter().enumerate().flat_map(|(step, tasks)| {
             let tasks = tasks.iter().enumerate();
@@ -47,25 +47,27 @@
         self.step(step).iter().all(|t| t.done)
     }
 
-    /// Whether all steps that this one depends on are done.
+    /// Whether all steps that this step depends on are done.
     pub fn may_start(&self, spec: &JobSpec, step: usize) -> bool {
         let after = &spec.steps[step].after;
-        after.iter().all(|on| self.step_done(usize::from(*on)))
+        after
+            .iter()
+            .all(|dependency| self.step_done(usize::from(*dependency)))
     }
 
-    /// Whether everything is done.
+    /// Whether all tasks are done.
     pub fn is_done(&self) -> bool {
         (0..self.steps.len()).all(|step| self.step_done(step))
     }
 
-    /// Frees the runs on a worker; returns how many there were.
+    /// Removes the runs on a worker and returns their number.
     pub fn lapse(&mut self, worker: &InstanceName) -> usize {
-        let mut freed = 0;
+        let mut removed = 0;
         for task in self.steps.iter_mut().flatten() {
-            let before = task.runs.len();
+            let count_before = task.runs.len();
             task.runs.retain(|run| run.worker != *worker);
-            freed += before - task.runs.len();
+            removed += count_before - task.runs.len();
         }
-        freed
+        removed
     }
 }
--- a/src/jobs/room.rs
+++ b/src/jobs/room.rs
@@ -1,38 +1,39 @@
 use serde::{Deserialize, Serialize};
 
-/// What a task asks for or a worker has.
+/// The resources that a task requests or a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Room {
-    /// Thousandths of a core.
+    /// Processor, in thousandths of a core.
     pub cpu_milli: u32,
-    /// Memory in mebibytes.
+    /// Memory, in mebibytes.
     pub memory_mb: u32,
-    /// Accelerators.
+    /// Accelerator devices.
     pub accelerators: u32,
 }
 
 impl Room {
-    /// Its cores.
+    /// The processor, in cores.
     pub fn cores(&self) -> f64 {
         f64::from(self.cpu_milli) / 1_000.0
     }
 
-    /// Whether `other` fits in.
+    /// Whether `other` fits in these resources.
     pub fn holds(&self, other: &Self) -> bool {
         other.cpu_milli <= self.cpu_milli
             && other.memory_mb <= self.memory_mb
             && other.accelerators <= self.accelerators
     }
 
-    /// How many times `other` fits in.
+    /// How many times `other` fits in these resources; [`u32::MAX`] if `other` is
+    /// zero.
     pub fn times_holds(&self, other: &Self) -> u32 {
-        let times = |own: u32, other: u32| own.checked_div(other).unwrap_or(u32::MAX);
-        times(self.cpu_milli, other.cpu_milli)
-            .min(times(self.memory_mb, other.memory_mb))
-            .min(times(self.accelerators, other.accelerators))
+        let quotient = |own: u32, other: u32| own.checked_div(other).unwrap_or(u32::MAX);
+        quotient(self.cpu_milli, other.cpu_milli)
+            .min(quotient(self.memory_mb, other.memory_mb))
+            .min(quotient(self.accelerators, other.accelerators))
     }
 
-    /// What is left when `other` is taken out; never below nothing.
+    /// Returns the difference to `other`, at least zero each.
     pub fn less(&self, other: &Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Both together.
+    /// Returns the sum with `other`.
     pub fn plus(&self, other: &Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli.saturating_add(other.cpu_milli),
--- a/src/jobs/run.rs
+++ b/src/jobs/run.rs
@@ -2,13 +2,14 @@
 
 use crate::model::InstanceName;
 
-/// A run of a task that may be going on.
+/// A run of a task that may be in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// Counts the starts of the task, from 1.
+    /// The number of the attempt, counted from 1 for each task.
     pub attempt: u32,
-    /// The incarnation of the worker that has the order.
+    /// The incarnation of the worker that the order to start is for.
     pub worker: InstanceName,
-    /// When the order was about to be given, in milliseconds since 1970.
+    /// When the run was placed, before the order was sent, in milliseconds of Unix
+    /// time.
     pub placed_unix_ms: u64,
 }
--- a/src/jobs/spec.rs
+++ b/src/jobs/spec.rs
@@ -5,26 +5,27 @@
 /// The largest payload, in bytes, as promised to callers.
 pub const PAYLOAD_LIMIT_BYTES: usize = 4000;
 
-/// The largest description, in bytes as it is stored: half of what one command of the
+/// Largest job description, in bytes as it is stored: half of what one command of the
 /// log holds, so that no job is accepted that the log drops.
-const SIZE_LIMIT_BYTES: usize = 256 << 10;
-/// The most tasks of one occurrence: one command of the log has to hold them, and
-/// several hundred times today's widest job.
-const TASKS_MAX: usize = 10_000;
+const MAX_SPEC_BYTES: usize = 256 << 10;
 
-/// A job as its caller hands it in.
+/// Largest number of tasks of one occurrence. One command of the log has to hold them;
+/// it is several hundred times the number of today's largest job.
+const MAX_TASKS: usize = 10_000;
+
+/// A job as its caller submits it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Handed to each task as it is.
+    /// Passed unchanged to each task.
     pub payload: String,
-    /// The steps, each after those that it depends on.
+    /// The steps; each one follows those that it depends on.
     pub steps: Vec<Step>,
-    /// When it recurs; none for a job that runs once, now.
+    /// When it recurs; none for a job that runs once, at once.
     pub recurrence: Option<Recurrence>,
 }
 
 impl JobSpec {
-    /// Checks it.
+    /// Checks the sizes, the number of tasks and the dependencies.
     ///
     /// # Errors
     /// The first fault found.
@@ -39,17 +40,17 @@
             return Err(SpecFault::NoStep);
         }
         let size_bytes = self.size_bytes();
-        if size_bytes > SIZE_LIMIT_BYTES {
+        if size_bytes > MAX_SPEC_BYTES {
             return Err(SpecFault::Large {
                 size_bytes,
-                limit_bytes: SIZE_LIMIT_BYTES,
+                limit_bytes: MAX_SPEC_BYTES,
             });
         }
         let tasks = self.tasks();
-        if tasks > TASKS_MAX {
+        if tasks > MAX_TASKS {
             return Err(SpecFault::ManyTasks {
                 tasks,
-                limit: TASKS_MAX,
+                limit: MAX_TASKS,
             });
         }
         for (step, spec) in self.steps.iter().enumerate() {
@@ -63,27 +64,27 @@
         Ok(())
     }
 
-    /// Its size as it is stored.
+    /// Its size as it is stored, in bytes.
     pub fn size_bytes(&self) -> usize {
         crate::codec::encode(self).len()
     }
 
-    /// How many tasks an occurrence has.
+    /// The number of tasks of one occurrence.
     pub fn tasks(&self) -> usize {
         self.steps.iter().map(|s| usize::from(s.tasks)).sum()
     }
 
-    /// How many occurrences it has.
+    /// The number of occurrences.
     pub fn occurrences(&self) -> u32 {
         self.recurrence.map_or(1, |r| r.times)
     }
 
-    /// Whether a step of it lasts until the job is cancelled.
+    /// Whether a step of it runs until the job is cancelled.
     pub fn lasts(&self) -> bool {
         self.steps.iter().any(|s| s.lasting)
     }
 
-    /// The core-milliseconds of an occurrence, with `takes_ms` for a task of each step.
+    /// The core-milliseconds of an occurrence, if a task of each step takes `takes_ms`.
     pub fn work(&self, takes_ms: &[u64]) -> f64 {
         let steps = self.steps.iter().zip(takes_ms);
         steps
@@ -94,16 +95,17 @@
             .sum()
     }
 
-    /// The longest chain of run times from each step to the end, in milliseconds, with
-    /// `takes_ms` for a task of each step.
+    /// The length of the critical path from each step to the end, in milliseconds, if a
+    /// task of each step takes `takes_ms`.
     pub fn chains_ms(&self, takes_ms: &[u64]) -> Vec<u64> {
-        let mut chains = takes_ms.to_vec();
+        let mut longest_ms = takes_ms.to_vec();
         for step in (0..self.steps.len()).rev() {
-            for on in &self.steps[step].after {
-                let on = usize::from(*on);
-                chains[on] = chains[on].max(takes_ms[on] + chains[step]);
+            for dependency in &self.steps[step].after {
+                let dependency = usize::from(*dependency);
+                longest_ms[dependency] =
+                    longest_ms[dependency].max(takes_ms[dependency] + longest_ms[step]);
             }
         }
-        chains
+        longest_ms
     }
 }
--- a/src/jobs/spec_fault.rs
+++ b/src/jobs/spec_fault.rs
@@ -1,45 +1,45 @@
-/// What is wrong with a job, with the remedy.
+/// Why a job description is refused, with the remedy.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 pub enum SpecFault {
-    /// No step.
-    #[display("the job has no step: give one at least")]
+    /// The job has no steps.
+    #[display("the job has no steps: add at least one")]
     NoStep,
-    /// A step without a task.
-    #[display("step {step} has no task: give one at least")]
+    /// A step has no tasks.
+    #[display("step {step} has no tasks: add at least one")]
     NoTask {
-        /// The step.
+        /// The step's index, from 0.
         step: usize,
     },
-    /// A step that depends on itself or a later one.
-    #[display("step {step} depends on step {on}: only earlier steps can be named")]
+    /// A step depends on itself or a later one.
+    #[display("step {step} depends on step {on}: a step can only depend on earlier ones")]
     WrongOrder {
-        /// The step.
+        /// The step's index, from 0.
         step: usize,
-        /// What it names.
+        /// The index of the step that it depends on.
         on: u16,
     },
-    /// A payload above the limit.
-    #[display("the payload has {size_bytes} bytes: {limit_bytes} are the most")]
+    /// The payload is over the limit.
+    #[display("the payload has {size_bytes} bytes: at most {limit_bytes} are allowed")]
     LargePayload {
-        /// Its size.
+        /// Its size, in bytes.
         size_bytes: usize,
-        /// The limit.
+        /// The limit, in bytes.
         limit_bytes: usize,
     },
-    /// A description above the limit.
+    /// The description is over the limit.
     #[display(
-        "the job takes {size_bytes} bytes: {limit_bytes} are the most, hand it in as several jobs"
+        "the job takes {size_bytes} bytes: at most {limit_bytes} are allowed, submit it as several jobs"
     )]
     Large {
-        /// Its size as it is stored.
+        /// Its size as it is stored, in bytes.
         size_bytes: usize,
-        /// The limit.
+        /// The limit, in bytes.
         limit_bytes: usize,
     },
-    /// More tasks than one job may have.
-    #[display("the job has {tasks} tasks: {limit} are the most")]
+    /// The job has too many tasks.
+    #[display("the job has {tasks} tasks: at most {limit} are allowed")]
     ManyTasks {
-        /// How many.
+        /// The number of tasks of one occurrence.
         tasks: usize,
         /// The limit.
         limit: usize,
--- a/src/jobs/step.rs
+++ b/src/jobs/step.rs
@@ -2,46 +2,46 @@
 
 use super::Room;
 
-/// A step of a job: tasks of one kind.
+/// A step of a job: a number of tasks with the same requirements.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// How many tasks.
+    /// The number of tasks.
     pub tasks: u16,
-    /// What each asks for.
+    /// The resources that each task requests.
     pub demand: Room,
-    /// The caller's rough estimate of a task's run time.
+    /// The caller's rough estimate of a task's run time, in milliseconds.
     pub estimate_ms: u64,
-    /// Earlier steps whose tasks must all be done first.
+    /// Indexes of the earlier steps whose tasks must all be done first.
     pub after: Vec<u16>,
-    /// Whether a task saves its progress and can resume.
+    /// Whether a task writes checkpoints and can resume from them.
     pub checkpoints: bool,
-    /// Whether the tasks work only together.
+    /// Whether the tasks are a gang: they only work if all of them run at once.
     pub gang: bool,
-    /// Whether they are slower on more than one rack.
+    /// Whether the tasks are slower if they are spread over several racks.
     pub rack_local: bool,
     /// A label that the worker must have.
     pub label: Option<String>,
-    /// The rack near which a task is fast.
+    /// The rack near its data, where a task runs faster.
     pub data_rack: Option<String>,
-    /// At most so many tasks of an occurrence on one worker.
+    /// Largest number of tasks of one occurrence on one worker.
     pub per_worker_max: Option<u16>,
-    /// Whether copies of a task may run side by side.
+    /// Whether several copies of a task may run at the same time.
     pub copies: bool,
     /// Whether the tasks run until the job is cancelled.
     pub lasting: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The program image that the tasks run; tasks of one image behave alike.
     pub image: String,
-    /// The tail latency that a lasting task must keep for its own users.
+    /// Largest tail latency of a lasting task for its own users, in milliseconds.
     pub tail_target_ms: Option<u64>,
-    /// Whether it only gets the processor time that others leave.
+    /// Whether the tasks only get the processor time that others leave unused.
     pub best_effort: bool,
-    /// How many tasks of a lasting step may be away at once by orders.
+    /// Largest number of tasks of a lasting step that orders may interrupt at once.
     pub disruption_budget: Option<u16>,
 }
 
 impl Step {
-    /// What a task takes of a worker's room; a best-effort task takes no
-    /// processor that is counted.
+    /// The resources that a task reserves on a worker; a best-effort task reserves no
+    /// processor.
     pub fn reserved(&self) -> Room {
         Room {
             cpu_milli: if self.best_effort {
--- a/src/jobs/task.rs
+++ b/src/jobs/task.rs
@@ -2,25 +2,25 @@
 
 use super::Run;
 
-/// How far a task is.
+/// The progress of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Task {
-    /// The number of its latest start.
+    /// The number of its latest attempt.
     pub attempt: u32,
-    /// How often a run of it failed.
+    /// The number of runs of it that failed.
     pub failures: u32,
-    /// Whether a run of it ended as done.
+    /// Whether a run of it completed.
     pub done: bool,
-    /// The latest saved progress; empty for none.
+    /// The latest checkpoint; empty for none.
     pub checkpoint: String,
-    /// Runs that may be going on.
+    /// Runs that may be in progress.
     pub runs: Vec<Run>,
-    /// The worker on which it failed last, to be avoided by the next start.
+    /// The worker on which it last failed, which the next placement avoids.
     pub failed_on: Option<crate::model::InstanceName>,
 }
 
 impl Task {
-    /// Whether it needs a start.
+    /// Whether it waits for a placement.
     pub fn is_waiting(&self) -> bool {
         !self.done && self.runs.is_empty()
     }
--- a/src/jobs/task_id.rs
+++ b/src/jobs/task_id.rs
@@ -4,7 +4,7 @@
 
 use super::JobId;
 
-/// A task's name: its job, the occurrence of the job, the step and its place there.
+/// A task's id: its job, the occurrence of the job, the step and its index there.
 #[derive(
     Clone,
     Copy,
@@ -22,17 +22,17 @@
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// Which occurrence of it, from 0.
+    /// The number of the occurrence, from 0.
     pub occurrence: u32,
-    /// Which step, from 0.
+    /// The index of the step, from 0.
     pub step: u16,
-    /// Which task of the step, from 0.
+    /// The index of the task in the step, from 0.
     pub index: u16,
 }
 
-/// Text that is no task's name.
+/// The error for text that is not a task id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
-#[display("a task's name is JOB.OCCURRENCE.STEP.INDEX")]
+#[display("a task id has the form JOB.OCCURRENCE.STEP.INDEX")]
 pub struct TaskIdFault;
 
 impl FromStr for TaskId {
--- a/src/model/budget.rs
+++ b/src/model/budget.rs
@@ -1,20 +1,21 @@
 use serde::{Deserialize, Serialize};
 
-/// How many instances of a pool must stay available.
+/// The number of instances of a pool that must stay available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Instances that must be serving at any moment.
+    /// Smallest number of instances that serve at any time.
     pub min_available: u32,
-    /// Largest failure domain whose loss must still leave `min_available`.
+    /// Largest failure domain whose loss must still leave `min_available`
+    /// instances.
     pub survive: Survive,
 }
 
-/// A failure domain a budget has to survive.
+/// A failure domain whose loss a budget allows for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Survive {
-    /// No further loss is planned for.
+    /// No loss: no instances beyond `min_available` are kept.
     #[display("none")]
     None,
     /// The loss of any one instance.
--- a/src/model/capacity.rs
+++ b/src/model/capacity.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// What an upstream says it can carry at once.
+/// The capacity that an upstream reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Capacity {
@@ -10,8 +10,8 @@
     pub memory_mib: u32,
     /// Accelerator devices.
     pub accelerators: u32,
-    /// Requests that may run at once.
+    /// Largest number of requests that run at once.
     pub slots: u32,
-    /// Connections that may be open at once.
+    /// Largest number of connections that are open at once.
     pub connections: u32,
 }
--- a/src/model/class.rs
+++ b/src/model/class.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// How long a request may wait.
+/// The service class of a request.
 #[derive(
     Clone,
     Copy,
@@ -19,7 +19,7 @@
     /// A person is waiting for the answer.
     #[display("urgent")]
     Urgent,
-    /// May wait, but must finish exactly once.
+    /// The request may wait, but must finish exactly once.
     #[display("patient")]
     Patient,
 }
--- a/src/model/demand.rs
+++ b/src/model/demand.rs
@@ -1,6 +1,7 @@
 use serde::{Deserialize, Serialize};
 
-/// What one request of a service is declared to need; often far off.
+/// The declared resources of one request of a service. The declaration is often
+/// inaccurate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Demand {
@@ -10,6 +11,6 @@
     pub memory_mib: u32,
     /// Accelerator devices.
     pub accelerators: u32,
-    /// Declared run time in milliseconds.
+    /// Run time in milliseconds.
     pub run_ms: u64,
 }
--- a/src/model/duty.rs
+++ b/src/model/duty.rs
@@ -2,27 +2,28 @@
 
 use super::{PoolName, WaveName};
 
-/// What an instance is meant to be doing, as decided in the replicated state.
+/// The desired state of an instance, as decided in the replicated state.
 ///
-/// Liveness is not part of it: a serving instance may have failed.
+/// It does not tell whether the instance is alive: a serving instance may have
+/// failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Duty {
-    /// Takes requests of its pool.
+    /// Accepts requests of its pool.
     Serving,
-    /// Gets nothing new; what runs may finish.
+    /// Gets no new requests; running ones may finish.
     Draining {
-        /// Why it drains and what comes after.
+        /// Why it drains and what follows.
         absence: Absence,
     },
-    /// Runs nothing and is being rebooted, replaced or kept out.
+    /// Runs no requests and is being rebooted, replaced or kept out of service.
     Away {
         /// Why it is away.
         absence: Absence,
     },
 }
 
-/// Why an instance is absent from its pool by decision.
+/// Why an instance was taken out of service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Absence {
@@ -33,21 +34,21 @@
         /// The wave.
         wave: WaveName,
     },
-    /// A wave replaces it: it returns with a new incarnation.
+    /// A wave replaces it; it returns with a new incarnation.
     Replace {
         /// The wave.
         wave: WaveName,
     },
     /// It moves to another pool.
     Move {
-        /// The pool it is to join.
+        /// The pool that it joins.
         to: PoolName,
     },
-    /// It did not come back, or came back sick.
+    /// It did not return from an absence, or returned unhealthy.
     SetAside {
-        /// What was seen, in words.
+        /// The observed fault, as text for operators.
         reason: String,
     },
-    /// Repair restarts or replaces it after a failure.
+    /// An automatic repair restarts or replaces it after a failure.
     Repair,
 }
--- a/src/model/instance.rs
+++ b/src/model/instance.rs
@@ -11,11 +11,11 @@
     pub zone: ZoneName,
     /// Its rack.
     pub rack: RackName,
-    /// The one pool it belongs to.
+    /// The pool that it belongs to.
     pub pool: PoolName,
     /// Counts its returns to service, in this or another pool; a dispatch under an
-    /// older epoch is void.
+    /// older epoch is rejected.
     pub epoch: u64,
-    /// What it is meant to be doing.
+    /// Its desired state.
     pub duty: Duty,
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,8 +1,8 @@
-//! The objects of the world this program manages: instances in racks and
-//! availability zones, the pools they belong to, the services the pools carry,
-//! and the rows of weights and limits that operators keep current.
+//! The data model: instances in racks and availability zones, the pools that
+//! they belong to, the services that the pools run, and the rows of weights and
+//! limits that operators maintain.
 //!
-//! Everything here is plain data shared by all parts; nothing here decides.
+//! These are plain data types that all parts share, without any decisions.
 
 mod budget;
 mod capacity;
--- a/src/model/names.rs
+++ b/src/model/names.rs
@@ -1,7 +1,7 @@
-//! Names of things, one type each so that they cannot be mixed up.
+//! Names and ids, each with its own type so that they cannot be confused.
 //!
-//! A name is cheap to clone (a shared string) and orders by its text, so that
-//! decisions which walk a map of names do so in the same order on every process.
+//! A name is a shared string, cheap to clone. Names are ordered by their text, so
+//! that every process iterates over a map of names in the same order.
 
 use std::sync::Arc;
 
@@ -34,31 +34,31 @@
 }
 
 name!(
-    /// A worker machine that runs requests.
+    /// Name of a worker machine that runs requests.
     InstanceName
 );
 name!(
-    /// An availability zone.
+    /// Name of an availability zone.
     ZoneName
 );
 name!(
-    /// A rack inside an availability zone: instances that fail together.
+    /// Name of a rack in an availability zone, whose instances fail together.
     RackName
 );
 name!(
-    /// A pool of instances.
+    /// Name of a pool of instances.
     PoolName
 );
 name!(
-    /// A service that callers ask for.
+    /// Name of a service that callers request.
     ServiceName
 );
 name!(
-    /// A team of callers with a quota.
+    /// Name of a team of callers, which has a quota.
     TeamName
 );
 name!(
-    /// An entry instance of this system.
+    /// Name of an entry instance, a process of this system that accepts calls.
     EntryName
 );
 name!(
@@ -66,10 +66,11 @@
     RequestKey
 );
 name!(
-    /// An operator's id for one change; a resent change gets its first answer.
+    /// An operator's id for one change; a change sent again under the same id gets
+    /// its first reply.
     ChangeId
 );
 name!(
-    /// A maintenance wave.
+    /// Name of a maintenance wave.
     WaveName
 );
--- a/src/model/pool.rs
+++ b/src/model/pool.rs
@@ -2,15 +2,15 @@
 
 use super::{Budget, PoolName, Service};
 
-/// A set of instances that carries some services within a budget.
+/// A set of instances that run the same services, with an availability budget.
 ///
-/// A service is carried by exactly one pool.
+/// Each service belongs to exactly one pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
     /// The pool's name.
     pub name: PoolName,
-    /// How many of its instances must stay available.
+    /// The number of its instances that must stay available.
     pub budget: Budget,
     /// The services its instances run.
     pub services: Vec<Service>,
--- a/src/model/refusal.rs
+++ b/src/model/refusal.rs
@@ -16,31 +16,32 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalReason {
-    /// No pool carries the service.
+    /// No pool has the service.
     #[display("unknown-service")]
     UnknownService,
-    /// No instance of the pool could ever carry it.
+    /// No instance of the pool is large enough for the request.
     #[display("never-fits")]
     NeverFits,
-    /// It cannot be answered before its deadline.
+    /// The request cannot be answered before its deadline.
     #[display("deadline")]
     Deadline,
-    /// The queue holds more than can be served in time.
+    /// The queue holds more requests than can be served in time.
     #[display("queue-full")]
     QueueFull,
-    /// The team's quota is used up.
+    /// The team's quota is exhausted.
     #[display("team-quota")]
     TeamQuota,
-    /// The row's weight or limit is zero here.
+    /// The team, or the service in every zone, is closed: the weight or limit of
+    /// its row is zero.
     #[display("row-closed")]
     RowClosed,
     /// No instance of the pool can be reached.
     #[display("no-instance")]
     NoInstance,
-    /// The retry budget is used up.
+    /// The retry budget is exhausted.
     #[display("retry-budget")]
     RetryBudget,
-    /// The caller went away or cancelled.
+    /// The caller disconnected or cancelled.
     #[display("cancelled")]
     Cancelled,
     /// The replicated state cannot be reached, so no claim can be made.
@@ -52,7 +53,7 @@
     /// This entry instance is stopping.
     #[display("stopping")]
     Stopping,
-    /// A field of the request is wrong.
+    /// A field of the request is invalid.
     #[display("bad-request")]
     BadRequest,
     /// The key is in use for a different request.
--- a/src/model/service.rs
+++ b/src/model/service.rs
@@ -2,14 +2,14 @@
 
 use super::{Class, Demand, ServiceName};
 
-/// A kind of work that callers ask for.
+/// A kind of request that callers send.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The name callers use.
+    /// The name that callers use.
     pub name: ServiceName,
-    /// The class of its requests.
+    /// The service class of its requests.
     pub class: Class,
-    /// Declared need of one request.
+    /// Declared resources of one request.
     pub demand: Demand,
 }
