--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -25,7 +25,7 @@
 mod reply;
 mod rows;
 mod snapshot;
-#[allow(clippy::module_inception)] // one type a file, named after the type
+#[allow(clippy::module_inception)] // each file is named after its type
 mod state;
 mod tombstones;
 mod trail;
--- a/src/state/reply.rs
+++ b/src/state/reply.rs
@@ -27,7 +27,7 @@
     /// nothing was changed.
     StaleIncarnation,
     /// The command was applied before; its reply was too large to keep.
-    /// A claim may be proposed again under a new sequence number.
+    /// Proposing a claim again under a new sequence number is safe.
     Duplicate,
     /// Nothing was changed: the command is outside the deduplication window, so
     /// the state cannot tell whether it was applied before. Propose it again
--- a/tests/state/main.rs
+++ b/tests/state/main.rs
@@ -15,7 +15,7 @@
 /// Time of the first command, in milliseconds of Unix time.
 pub const START_UNIX_MS: u64 = 1_700_000_000_000;
 
-/// A state and the sequence number of the last command, which all entry
+/// A state and the sequence number of the latest command, which all entry
 /// instances share.
 #[derive(Clone, Default)]
 pub struct Harness {
@@ -43,8 +43,8 @@
         self.state.apply(&command)
     }
 
-    /// A state with one pool with one service `scoring`, two instances of 8 slots in each of
-    /// the zones `a`, `b`, and a budget of four available instances.
+    /// A state with one pool with one service `scoring`, two instances of 8 slots
+    /// in each of the zones `a` and `b`, and a budget of four available instances.
     pub fn with_pool() -> Self {
         let mut harness = Self::default();
         let pool = Pool {
