--- a/src/control/capacity/balance.rs
+++ b/src/control/capacity/balance.rs
@@ -1,39 +1,39 @@
 use crate::model::PoolName;
 
-/// A pool's machines against its need.
+/// The machine counts of a pool compared with its need.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Balance {
     pub(super) name: PoolName,
-    /// Machines that can be used and stay.
+    /// Usable machines in the pool, without those that are about to leave it.
     pub(super) has: usize,
-    /// Machines on their way to it.
-    pub(super) coming: usize,
-    /// Machines that what it has to do asks for.
+    /// Machines that are moving to the pool or are drained for that.
+    pub(super) incoming: usize,
+    /// Machines that the pool's current and forecast work needs.
     pub(super) needs: usize,
-    /// Machines that it does not give to another pool.
-    pub(super) keeps: usize,
-    /// Machines that do not go off.
-    pub(super) keeps_on: usize,
+    /// Machines that the pool does not release to another pool.
+    pub(super) keep: usize,
+    /// Machines that the pool does not release to standby.
+    pub(super) keep_powered: usize,
 }
 
 impl Balance {
-    /// Machines that another pool may have.
+    /// Returns how many machines may move to other pools.
     pub(super) fn surplus(&self) -> usize {
-        (self.has + self.coming).saturating_sub(self.keeps)
+        (self.has + self.incoming).saturating_sub(self.keep)
     }
 
-    /// Machines that may go off.
-    pub(super) fn idle(&self) -> usize {
-        (self.has + self.coming).saturating_sub(self.keeps_on)
+    /// Returns how many machines may go to standby.
+    pub(super) fn unneeded(&self) -> usize {
+        (self.has + self.incoming).saturating_sub(self.keep_powered)
     }
 
-    /// Machines that its need lacks.
-    pub(super) fn lack(&self) -> usize {
-        self.needs.saturating_sub(self.has + self.coming)
+    /// Returns how many machines are missing to cover the need.
+    pub(super) fn deficit(&self) -> usize {
+        self.needs.saturating_sub(self.has + self.incoming)
     }
 
-    /// The part of its need that it lacks, in thousandths.
-    pub(super) fn lack_per_mille(&self) -> usize {
-        self.lack() * 1_000 / self.needs.max(1)
+    /// Returns the deficit as a part of the need, in thousandths.
+    pub(super) fn deficit_per_mille(&self) -> usize {
+        self.deficit() * 1_000 / self.needs.max(1)
     }
 }
--- a/src/control/capacity/peaks.rs
+++ b/src/control/capacity/peaks.rs
@@ -1,18 +1,20 @@
 use std::collections::VecDeque;
 
-/// What a pool needed at most in the last while.
+/// Sliding-window maximum of the machines that a pool needed.
 #[derive(Debug, Default)]
 pub(super) struct Peaks {
-    /// Needs with their times, newest last.
+    /// Times and needs, with times ascending and needs strictly descending.
     needs: VecDeque<(u64, usize)>,
+    /// Time of the first record.
     since_ms: Option<u64>,
 }
 
 impl Peaks {
-    /// Takes note of a need; forgets what is older than `kept_ms`.
-    pub(super) fn note(&mut self, now_ms: u64, needs: usize, kept_ms: u64) {
+    /// Records a need and drops those that are older than `kept_ms`.
+    pub(super) fn record(&mut self, now_ms: u64, needs: usize, kept_ms: u64) {
         self.since_ms.get_or_insert(now_ms);
-        // What is no higher than a newer one is no peak of any span up to now.
+        // A need that is not above a newer one cannot be the maximum of any window that ends
+        // now.
         while self.needs.back().is_some_and(|(_, lower)| *lower <= needs) {
             self.needs.pop_back();
         }
@@ -26,7 +28,7 @@
         }
     }
 
-    /// The peak of the last `over_ms`.
+    /// Returns the maximum of the last `over_ms`, 0 if there is no record in it.
     pub(super) fn peak(&self, now_ms: u64, over_ms: u64) -> usize {
         let recent = self
             .needs
@@ -35,8 +37,8 @@
         recent.map_or(0, |(_, needs)| *needs)
     }
 
-    /// Whether needs have been noted for so long.
-    pub(super) fn is_watched(&self, now_ms: u64, for_ms: u64) -> bool {
+    /// Returns whether needs have been recorded for at least `for_ms`.
+    pub(super) fn covers(&self, now_ms: u64, for_ms: u64) -> bool {
         self.since_ms.is_some_and(|at_ms| now_ms >= at_ms + for_ms)
     }
 }
--- /dev/null
+++ b/src/control/capacity/transit.rs
@@ -0,0 +1,199 @@
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::Move;
+use crate::control::demand::{PoolDemand, WorkerUse};
+use crate::control::{Machine, MachinePhase, MovesPolicy, State};
+use crate::model::{InstanceName, PoolName};
+
+/// How long a move may take before the machine no longer counts for its new pool.
+const ARRIVAL_TIMEOUT_MS: u64 = 4_000;
+/// Delay before a refused move is tried again.
+const RETRY_DELAY_MS: u64 = 500;
+/// Delay before a machine that went to standby may leave it: the platform answers `busy`
+/// until its move there is complete.
+const STANDBY_DELAY_MS: u64 = 2_000;
+
+/// Machines that are drained for a move, are moving, or arrived lately.
+#[derive(Debug, Default)]
+pub(super) struct Transit {
+    /// Machines that are drained for a move.
+    draining: BTreeMap<String, Draining>,
+    /// Moving machines, each with its destination and the time of its departure.
+    moving: BTreeMap<String, (PoolName, u64)>,
+    /// Workers whose machines were ordered to move, by machine. A task that starts there ends
+    /// with the worker.
+    ordered: BTreeMap<String, InstanceName>,
+    /// Time at which each machine arrived in its pool.
+    arrived_ms: BTreeMap<String, u64>,
+    /// Machines that get no new order yet, each with the end of its delay.
+    retry_after_ms: BTreeMap<String, u64>,
+}
+
+#[derive(Debug)]
+struct Draining {
+    worker: InstanceName,
+    to: PoolName,
+    since_ms: u64,
+}
+
+impl Transit {
+    /// Adds the machines that the platform lists as moving.
+    pub(super) fn listed(&mut self, now_ms: u64, machines: &[Machine]) {
+        for machine in machines.iter().filter(|m| m.phase == MachinePhase::Moving) {
+            self.moving
+                .entry(machine.name.clone())
+                .or_insert_with(|| (machine.pool.clone(), now_ms));
+        }
+    }
+
+    /// Returns the workers that are closed to new tasks because their machines are about to
+    /// move.
+    pub(super) fn closed(&self) -> impl Iterator<Item = &InstanceName> {
+        let draining = self.draining.values().map(|e| &e.worker);
+        draining.chain(self.ordered.values())
+    }
+
+    pub(super) fn is_moving(&self, machine: &str) -> bool {
+        self.moving.contains_key(machine)
+    }
+
+    /// Returns whether a machine gets no new order yet.
+    pub(super) fn is_in_retry_delay(&self, machine: &str) -> bool {
+        self.retry_after_ms.contains_key(machine)
+    }
+
+    /// Returns whether a machine must not be taken from its pool now.
+    pub(super) fn is_pinned(&self, now_ms: u64, machine: &str, policy: &MovesPolicy) -> bool {
+        let has_arrived = self.arrived_ms.get(machine);
+        has_arrived.is_some_and(|at_ms| now_ms < at_ms + policy.stay_ms)
+            || self.draining.contains_key(machine)
+            || self.moving.contains_key(machine)
+            || self.retry_after_ms.contains_key(machine)
+    }
+
+    /// Counts the machines that are moving to a pool or are drained for that.
+    pub(super) fn count_incoming(&self, pool: &PoolName) -> usize {
+        let moving = self.moving.values().filter(|(to, _)| to == pool).count();
+        moving + self.draining.values().filter(|e| e.to == *pool).count()
+    }
+
+    /// Counts the workers whose machines are drained for a move.
+    pub(super) fn count_draining(&self, workers: &[WorkerUse]) -> usize {
+        let is_draining = |w: &&WorkerUse| {
+            let machine = w.machine.as_ref();
+            let draining = machine.and_then(|machine| self.draining.get(machine));
+            draining.is_some_and(|e| e.worker == w.worker)
+        };
+        workers.iter().filter(is_draining).count()
+    }
+
+    /// Sends a machine to a pool: returns the move if nothing runs there, or starts to drain
+    /// the machine otherwise.
+    pub(super) fn send(
+        &mut self,
+        now_ms: u64,
+        worker: &WorkerUse,
+        machine: String,
+        to: PoolName,
+    ) -> Option<Move> {
+        if worker.passing > 0 {
+            let draining = Draining {
+                worker: worker.worker.clone(),
+                to,
+                since_ms: now_ms,
+            };
+            self.draining.insert(machine, draining);
+            return None;
+        }
+        self.ordered.insert(machine.clone(), worker.worker.clone());
+        Some(self.depart(now_ms, machine, to))
+    }
+
+    /// Starts the move of a machine on which nothing can run.
+    pub(super) fn depart(&mut self, now_ms: u64, machine: String, pool: PoolName) -> Move {
+        self.moving.insert(machine.clone(), (pool.clone(), now_ms));
+        Move { machine, pool }
+    }
+
+    /// Records that the platform accepted a move: the machine is moving or, with `to_standby`, in
+    /// standby.
+    pub(super) fn moved(&mut self, now_ms: u64, machine: &str, pool: &PoolName, to_standby: bool) {
+        self.draining.remove(machine);
+        if to_standby {
+            self.moving.remove(machine);
+            self.retry_after_ms
+                .insert(machine.to_owned(), now_ms + STANDBY_DELAY_MS);
+        } else {
+            let destination = (pool.clone(), now_ms);
+            self.moving.insert(machine.to_owned(), destination);
+        }
+    }
+
+    /// Records that the platform refused a move.
+    pub(super) fn refused(&mut self, now_ms: u64, machine: &str) {
+        self.moving.remove(machine);
+        self.ordered.remove(machine);
+        self.draining.remove(machine);
+        self.retry_after_ms
+            .insert(machine.to_owned(), now_ms + RETRY_DELAY_MS);
+    }
+
+    /// Records the machines that have arrived and drops entries that are out of date.
+    pub(super) fn update(
+        &mut self,
+        now_ms: u64,
+        state: &State,
+        demand: &BTreeMap<PoolName, PoolDemand>,
+    ) {
+        for (pool, demand) in demand {
+            let machines = demand.workers.iter().filter_map(|w| w.machine.as_ref());
+            for machine in machines {
+                let has_arrived = self.moving.get(machine).is_some_and(|(to, _)| to == pool);
+                if has_arrived {
+                    self.moving.remove(machine);
+                    self.arrived_ms.insert(machine.clone(), now_ms);
+                }
+            }
+        }
+        self.moving
+            .retain(|_, (_, since_ms)| now_ms < *since_ms + ARRIVAL_TIMEOUT_MS);
+        self.retry_after_ms.retain(|_, until_ms| now_ms < *until_ms);
+        self.ordered
+            .retain(|_, worker| state.worker(worker).is_some());
+    }
+
+    /// Returns moves for the machines that are drained, and gives up draining those that have
+    /// taken too long.
+    pub(super) fn take_drained(
+        &mut self,
+        now_ms: u64,
+        demand: &BTreeMap<PoolName, PoolDemand>,
+        busy: &BTreeSet<InstanceName>,
+        policy: &MovesPolicy,
+    ) -> Vec<Move> {
+        let mut runs: BTreeMap<&InstanceName, usize> = BTreeMap::new();
+        for w in demand.values().flat_map(|d| &d.workers) {
+            let machine = w.machine.as_ref();
+            if machine.is_some_and(|machine| self.draining.contains_key(machine)) {
+                runs.insert(&w.worker, w.lasting + w.passing);
+            }
+        }
+        let mut drained = Vec::new();
+        self.draining
+            .retain(|machine, e| match runs.get(&e.worker) {
+                Some(0) if !busy.contains(&e.worker) => {
+                    drained.push((machine.clone(), e.worker.clone(), e.to.clone()));
+                    false
+                }
+                Some(_) => now_ms < e.since_ms + policy.empty_ms,
+                None => false,
+            });
+        let drained = drained.into_iter();
+        drained
+            .map(|(machine, worker, to)| {
+                self.ordered.insert(machine.clone(), worker);
+                self.depart(now_ms, machine, to)
+            })
+            .collect()
+    }
+}
--- a/src/control/upkeep.rs
+++ b/src/control/upkeep.rs
@@ -1,10 +1,10 @@
-//! Maintenance waves: which machine is emptied next, and when its upkeep begins.
+//! Planner for maintenance waves: which machine is drained next, and when its upkeep begins.
 //!
-//! Answers a wave that is due while the pools work. Machines are emptied one after
-//! the other: closed for new tasks, their lasting tasks stopped within each step's
-//! disruption budget, their other tasks given some time to end. Emptying the next
-//! goes on while others are down, so that the wave keeps its time with no more
-//! machines down than it allows.
+//! A wave falls due while the pools serve work. To drain a machine, the planner closes it
+//! to new tasks, stops its lasting tasks within the disruption budget of each step and
+//! gives its other tasks some time to end. It drains further machines while others are
+//! down, so that the wave meets its deadline without ever having more machines down than
+//! it allows.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,36 +12,37 @@
 use crate::jobs::{Job, TaskId};
 use crate::model::{InstanceName, PoolName};
 
-/// How long after the time of its upkeep a machine that does not report counts as
-/// back: two reports' time. It is down for another reason then.
-const BACK_LATE_MS: u64 = 3_000;
-/// Pause after a refusal by the platform.
-const RETRY_MS: u64 = 500;
+/// How long after the usual upkeep time a machine that does not report still counts as down
+/// for its upkeep: two report intervals. If it stays silent for longer, it is down for
+/// another reason.
+const RETURN_GRACE_MS: u64 = 3_000;
+/// Delay before an order that the platform refused or did not answer is sent again.
+const RETRY_DELAY_MS: u64 = 500;
 
-/// What the leader wants done for waves.
+/// An action that the leader takes for a wave.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpkeepStep {
-    /// Stop a run, to start it elsewhere.
+    /// Stop a run so that its task can start on another worker.
     Stop {
-        /// Where it runs.
+        /// The worker that the run is on.
         worker: InstanceName,
         /// The task.
         task: TaskId,
-        /// The number of its start.
+        /// The attempt number of the run.
         attempt: u32,
     },
-    /// Begin the upkeep of a machine that is empty.
+    /// Begin the upkeep of a drained machine.
     Begin {
         /// The wave's number.
         wave: u64,
         /// The machine.
         machine: String,
-        /// The incarnation on it, none if it is off.
+        /// The worker incarnation on the machine; `None` if the machine is off.
         worker: Option<InstanceName>,
     },
 }
 
-/// What the plan for the waves looks at.
+/// The inputs of [`Upkeep::tick`].
 #[derive(Clone, Copy, Debug)]
 pub struct UpkeepWorld<'a> {
     /// The replicated state.
@@ -50,20 +51,20 @@
     pub fleet: &'a Fleet,
     /// Machines that are off.
     pub off: &'a BTreeSet<String>,
-    /// Workers with a start on its way.
+    /// Workers with a proposed start that is not committed yet.
     pub busy: &'a BTreeSet<InstanceName>,
     /// Times of the deployment.
     pub timing: &'a Timing,
-    /// The weights.
+    /// The operator's policy for upkeep.
     pub policy: &'a UpkeepPolicy,
 }
 
-/// The leader's plan for the waves.
+/// The leader's planner for maintenance waves.
 #[derive(Debug, Default)]
 pub struct Upkeep {
-    /// Machines that are being emptied: since when, and for which wave.
-    emptying: BTreeMap<String, Emptying>,
-    /// Machines whose upkeep has begun and that are not back: since when.
+    /// Machines that are being drained, by name.
+    draining: BTreeMap<String, Draining>,
+    /// Machines whose upkeep has begun and that are not back yet, by name.
     down: BTreeMap<String, Down>,
 }
 
@@ -71,36 +72,40 @@
 #[derive(Debug)]
 struct Down {
     since_ms: u64,
-    /// The incarnation that ended with it: the machine is back with the next one.
-    before: Option<InstanceName>,
+    /// The incarnation that the upkeep ended. The machine is back when it reports another.
+    ended_worker: Option<InstanceName>,
 }
 
+/// A machine that is being drained, with the state of the order to begin its upkeep.
 #[derive(Debug)]
-struct Emptying {
+struct Draining {
     wave: u64,
-    /// None on a machine that is off.
+    /// `None` for a machine that is off.
     worker: Option<InstanceName>,
     since_ms: u64,
-    begin: Begin,
-    /// Whether an order was ever left unanswered.
-    doubted: bool,
+    order: OrderState,
+    /// Whether any order for the machine was left unanswered: the upkeep may then have begun
+    /// even if a later order is refused.
+    ever_unanswered: bool,
     retry_ms: u64,
 }
 
-/// How far the order to begin an upkeep is.
+/// State of the order to begin an upkeep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Begin {
-    /// Not given, or refused.
-    No,
-    /// On its way.
-    Asked,
-    /// Not answered: it may have begun, so it counts as down until it is known.
-    Doubtful,
+enum OrderState {
+    /// Not sent, or refused.
+    NotSent,
+    /// Sent, and not answered yet.
+    Sent,
+    /// The answer was lost. The upkeep may have begun, so the machine counts as down until
+    /// the outcome is known.
+    Unconfirmed,
 }
 
 impl Upkeep {
-    /// The plan of a leader that begins: a machine whose upkeep has begun and that
-    /// has no worker is down; one whose upkeep an earlier leader ordered may be.
+    /// Builds the planner of a new leader from the replicated state. A machine whose upkeep
+    /// has begun and that has no worker counts as down. A machine whose upkeep an earlier
+    /// leader ordered may be down, so its order counts as unconfirmed.
     pub fn new(now_ms: u64, state: &State) -> Self {
         let known = Self::machines(state);
         let begun = state.waves().values().flat_map(|w| &w.begun);
@@ -109,57 +114,57 @@
             .map(|machine| {
                 let down = Down {
                     since_ms: now_ms,
-                    before: None,
+                    ended_worker: None,
                 };
                 (machine.clone(), down)
             })
             .collect();
-        let mut emptying = BTreeMap::new();
+        let mut draining = BTreeMap::new();
         for wave in state.waves().values() {
             for (machine, worker) in wave.ordered() {
-                let doubtful = Emptying {
+                let unconfirmed = Draining {
                     wave: wave.number,
                     worker: worker.clone(),
                     since_ms: now_ms,
-                    begin: Begin::Doubtful,
-                    doubted: true,
+                    order: OrderState::Unconfirmed,
+                    ever_unanswered: true,
                     retry_ms: now_ms,
                 };
-                emptying.insert(machine.clone(), doubtful);
+                draining.insert(machine.clone(), unconfirmed);
             }
         }
-        Self { emptying, down }
+        Self { draining, down }
     }
 
-    /// The workers that take no new tasks.
+    /// Returns the workers that are closed to new tasks because their machines are drained.
     pub fn closed(&self) -> impl Iterator<Item = &InstanceName> {
-        self.emptying.values().filter_map(|e| e.worker.as_ref())
+        self.draining.values().filter_map(|e| e.worker.as_ref())
     }
 
-    /// The machines with the workers on them.
+    /// Returns the machines that have a worker, with that worker.
     pub fn machines(state: &State) -> BTreeMap<&String, &InstanceName> {
         machines(state).collect()
     }
 
-    /// The worker on a machine.
+    /// Returns the worker on a machine.
     pub fn worker_on<'a>(state: &'a State, machine: &str) -> Option<&'a InstanceName> {
         let mut all = machines(state);
         all.find(|(name, _)| *name == machine)
             .map(|(_, worker)| worker)
     }
 
-    /// The machines that are down for upkeep, or about to be.
+    /// Returns the machines that are being drained or are down for upkeep.
     pub fn taken(&self) -> impl Iterator<Item = &String> {
-        self.emptying.keys().chain(self.down.keys())
+        self.draining.keys().chain(self.down.keys())
     }
 
-    /// The machines whose upkeep is due.
+    /// Returns the machines of all waves whose upkeep has not begun.
     pub fn due_machines(state: &State) -> BTreeSet<String> {
         let due = state.waves().values().flat_map(Wave::due);
         due.cloned().collect()
     }
 
-    /// The workers whose machines are due for upkeep.
+    /// Returns the workers on machines that are due for upkeep.
     pub fn due(state: &State) -> BTreeSet<InstanceName> {
         let due: BTreeSet<&String> = state.waves().values().flat_map(Wave::due).collect();
         if due.is_empty() {
@@ -171,66 +176,73 @@
             .collect()
     }
 
-    /// The upkeep of a machine has begun, or it is gone for good.
+    /// Records that the upkeep of a machine has begun or, with `gone`, that the machine no
+    /// longer exists.
     pub fn begun(&mut self, now_ms: u64, machine: &str, gone: bool) {
         if gone {
-            self.emptying.remove(machine);
+            self.draining.remove(machine);
             return;
         }
-        let emptying = self.emptying.remove(machine);
+        let draining = self.draining.remove(machine);
         let down = Down {
             since_ms: now_ms,
-            before: emptying.and_then(|e| e.worker),
+            ended_worker: draining.and_then(|e| e.worker),
         };
         self.down.insert(machine.to_owned(), down);
     }
 
-    /// The platform refused the order or did not answer; it is given again soon.
+    /// Records that the platform refused the order, or did not answer it, and schedules a
+    /// retry.
     pub fn not_begun(&mut self, now_ms: u64, machine: &str, refused: bool) {
-        if let Some(emptying) = self.emptying.get_mut(machine) {
-            let doubtful = !refused || emptying.doubted;
-            emptying.doubted = doubtful;
-            emptying.begin = if doubtful { Begin::Doubtful } else { Begin::No };
-            emptying.retry_ms = now_ms + RETRY_MS;
+        if let Some(draining) = self.draining.get_mut(machine) {
+            let unconfirmed = !refused || draining.ever_unanswered;
+            draining.ever_unanswered = unconfirmed;
+            draining.order = if unconfirmed {
+                OrderState::Unconfirmed
+            } else {
+                OrderState::NotSent
+            };
+            draining.retry_ms = now_ms + RETRY_DELAY_MS;
         }
     }
 
-    /// What to do now.
+    /// Returns the actions to take now.
     pub fn tick(&mut self, now_ms: u64, now_unix_ms: u64, world: &UpkeepWorld) -> Vec<UpkeepStep> {
         let (state, timing) = (world.state, world.timing);
         let known = Self::machines(state);
-        let back_ms = timing.upkeep_ms + BACK_LATE_MS;
+        let return_ms = timing.upkeep_ms + RETURN_GRACE_MS;
         self.down.retain(|machine, down| {
             let back = match known.get(machine) {
-                Some(worker) => down.before.as_ref() != Some(*worker),
-                // One that was off comes back without a worker.
-                None => now_ms > down.since_ms + back_ms,
+                Some(worker) => down.ended_worker.as_ref() != Some(*worker),
+                // A machine that was off comes back without a worker.
+                None => now_ms > down.since_ms + return_ms,
             };
             !back
         });
-        self.emptying.retain(|machine, e| {
-            let as_before = match &e.worker {
+        self.draining.retain(|machine, e| {
+            let is_unchanged = match &e.worker {
                 Some(worker) => known.get(machine) == Some(&worker),
                 None => !known.contains_key(machine),
             };
-            e.begin != Begin::No || as_before
+            e.order != OrderState::NotSent || is_unchanged
         });
         let mut steps = Vec::new();
-        let mut budget = Budget::new(now_ms, world.fleet);
+        let mut budget = DisruptionBudget::new(now_ms, world.fleet);
         for wave in state.waves().values().filter(|w| !w.is_completed()) {
-            let room = self.room(now_unix_ms, wave, world);
-            self.choose(now_ms, wave, room, &known, &budget, world);
-            self.empty(now_ms, wave, world, &mut budget, &mut steps);
+            let free_slots = self.free_slots(now_unix_ms, wave, world);
+            self.select_machines(now_ms, wave, free_slots, &known, &budget, world);
+            self.drain_machines(now_ms, wave, world, &mut budget, &mut steps);
         }
         steps
     }
 
-    /// How many more machines to take up now: as many at once as the time that is
-    /// left asks for, so that the pools miss few of them at any moment.
-    fn room(&self, now_unix_ms: u64, wave: &Wave, world: &UpkeepWorld) -> usize {
+    /// Returns how many more machines to start draining now. The number at a time follows
+    /// from the time that is left, so that the pools lose as few machines as possible at any
+    /// moment.
+    fn free_slots(&self, now_unix_ms: u64, wave: &Wave, world: &UpkeepWorld) -> usize {
         let (timing, policy) = (world.timing, world.policy);
-        let mine = self
-            .emptying
+        let draining = self
+            .draining
             .values()
             .filter(|e| e.wave == wave.number)
             .count();
@@ -242,32 +254,33 @@
         let passed_ms = now_unix_ms.saturating_sub(wave.accepted_unix_ms);
         let goal_ms = (wave.duration_ms as f64 * policy.goal_part) as u64;
         let left_ms = goal_ms.saturating_sub(passed_ms);
-        let takes_ms = timing.upkeep_ms + policy.patience_ms;
+        let per_machine_ms = timing.upkeep_ms + policy.patience_ms;
         let left = wave.due().count() as u64;
-        let at_once = match left_ms.checked_div(takes_ms) {
+        let concurrent = match left_ms.checked_div(per_machine_ms) {
             Some(rounds) if rounds > 0 => left.div_ceil(rounds) as usize + 1,
             _ => usize::MAX,
         };
-        let most = at_once.min(2 * wave.down_max.max(1));
-        most.saturating_sub(mine + down)
+        let most = concurrent.min(2 * wave.down_max.max(1));
+        most.saturating_sub(draining + down)
     }
 
-    /// Takes up machines to empty. Those that are off cost nobody anything and go
-    /// first; then those of pools with little to do.
-    fn choose(
+    /// Selects machines to drain. Machines that are off go first because they run no work,
+    /// then those with the fewest tasks whose disruption budget is used up, then those of
+    /// pools with few jobs.
+    fn select_machines(
         &mut self,
         now_ms: u64,
         wave: &Wave,
-        room: usize,
+        free_slots: usize,
         known: &BTreeMap<&String, &InstanceName>,
-        budget: &Budget,
+        budget: &DisruptionBudget,
         world: &UpkeepWorld,
     ) {
-        if room == 0 {
+        if free_slots == 0 {
             return;
         }
         let (state, fleet, off) = (world.state, world.fleet, world.off);
-        let free = wave.due().filter(|m| !self.emptying.contains_key(*m));
+        let free = wave.due().filter(|m| !self.draining.contains_key(*m));
         let mut free: Vec<(&String, Option<&InstanceName>)> = free
             .filter_map(|machine| match known.get(machine) {
                 Some(worker) => {
@@ -277,27 +290,27 @@
                 None => off.contains(machine).then_some((machine, None)),
             })
             .collect();
-        let use_of_pool = pool_use(state);
-        // Each key is a walk over a worker's runs: it is worked out once.
+        let jobs_by_pool = active_jobs_by_pool(state);
+        // Each key iterates over a worker's runs, so it is computed only once.
         free.sort_by_cached_key(|(machine, worker)| match worker {
             Some(worker) => (
-                1 + budget.obstacles(state, worker),
+                1 + budget.blocked_tasks(state, worker),
                 state
                     .worker(worker)
-                    .and_then(|w| use_of_pool.get(&w.report.pool).copied())
+                    .and_then(|w| jobs_by_pool.get(&w.report.pool).copied())
                     .unwrap_or(0),
                 fleet.runs_on(state, worker).count(),
                 *machine,
             ),
             None => (0, 0, 0, *machine),
         });
-        for (machine, worker) in free.into_iter().take(room) {
-            let emptying = Emptying {
+        for (machine, worker) in free.into_iter().take(free_slots) {
+            let draining = Draining {
                 wave: wave.number,
                 worker: worker.cloned(),
                 since_ms: now_ms,
-                begin: Begin::No,
-                doubted: false,
+                order: OrderState::NotSent,
+                ever_unanswered: false,
                 retry_ms: now_ms,
             };
             tracing::info!(
@@ -306,16 +319,18 @@
                 ?worker,
                 "upkeep: emptying begins"
             );
-            self.emptying.insert(machine.clone(), emptying);
+            self.draining.insert(machine.clone(), draining);
         }
     }
 
-    fn empty(
+    /// Stops the tasks on draining machines as far as disruption budgets allow, and orders the
+    /// upkeep of machines that are drained while the wave allows more machines to be down.
+    fn drain_machines(
         &mut self,
         now_ms: u64,
         wave: &Wave,
         world: &UpkeepWorld,
-        budget: &mut Budget,
+        budget: &mut DisruptionBudget,
         steps: &mut Vec<UpkeepStep>,
     ) {
         let (state, fleet, busy) = (world.state, world.fleet, world.busy);
@@ -324,17 +339,18 @@
             .iter()
             .filter(|m| self.down.contains_key(*m))
             .count();
-        let begins = |e: &&Emptying| e.begin != Begin::No && e.wave == wave.number;
-        let mut taken = down + self.emptying.values().filter(begins).count();
-        for (machine, emptying) in &mut self.emptying {
-            if emptying.wave != wave.number || emptying.begin == Begin::Asked {
+        let counts_as_down =
+            |e: &&Draining| e.order != OrderState::NotSent && e.wave == wave.number;
+        let mut taken = down + self.draining.values().filter(counts_as_down).count();
+        for (machine, draining) in &mut self.draining {
+            if draining.wave != wave.number || draining.order == OrderState::Sent {
                 continue;
             }
-            let patient = now_ms < emptying.since_ms + world.policy.patience_ms;
-            let mut empty = emptying.worker.as_ref().is_none_or(|w| !busy.contains(w));
-            let runs = emptying.worker.iter().flat_map(|w| fleet.runs_on(state, w));
+            let within_patience = now_ms < draining.since_ms + world.policy.patience_ms;
+            let mut empty = draining.worker.as_ref().is_none_or(|w| !busy.contains(w));
+            let runs = draining.worker.iter().flat_map(|w| fleet.runs_on(state, w));
             for (job, task, attempt) in runs {
-                let Some(worker) = &emptying.worker else {
+                let Some(worker) = &draining.worker else {
                     continue;
                 };
                 empty = false;
@@ -342,10 +358,10 @@
                 let view = fleet.run(worker, task, attempt);
                 let stopping = view.is_none_or(|v| v.is_stopping());
                 let starting = view.is_some_and(|v| matches!(v.phase, RunPhase::Starting { .. }));
-                if stopping || starting || (patient && !step.lasting) {
+                if stopping || starting || (within_patience && !step.lasting) {
                     continue;
                 }
-                if budget.take(job, task) {
+                if budget.try_take(job, task) {
                     steps.push(UpkeepStep::Stop {
                         worker: worker.clone(),
                         task,
@@ -353,30 +369,30 @@
                     });
                 }
             }
-            let doubtful = emptying.begin == Begin::Doubtful;
-            let room = doubtful || taken < wave.down_max;
-            if empty && room && now_ms >= emptying.retry_ms {
-                emptying.begin = Begin::Asked;
-                taken += usize::from(!doubtful);
+            let unconfirmed = draining.order == OrderState::Unconfirmed;
+            let has_slot = unconfirmed || taken < wave.down_max;
+            if empty && has_slot && now_ms >= draining.retry_ms {
+                draining.order = OrderState::Sent;
+                taken += usize::from(!unconfirmed);
                 steps.push(UpkeepStep::Begin {
                     wave: wave.number,
                     machine: machine.clone(),
-                    worker: emptying.worker.clone(),
+                    worker: draining.worker.clone(),
                 });
             }
         }
     }
 }
 
-/// How many tasks of each lasting step are away, and may be.
-pub(super) struct Budget<'a> {
+/// Checks the disruption budgets of lasting steps within one pass.
+pub(super) struct DisruptionBudget<'a> {
     now_ms: u64,
     fleet: &'a Fleet,
-    /// Tasks that this pass takes away, by step (index 0).
+    /// Tasks that this pass stops, by step (the key has index 0).
     taken: BTreeMap<TaskId, usize>,
 }
 
-impl<'a> Budget<'a> {
+impl<'a> DisruptionBudget<'a> {
     pub(super) fn new(now_ms: u64, fleet: &'a Fleet) -> Self {
         Self {
             now_ms,
@@ -385,27 +401,27 @@
         }
     }
 
-    /// Whether the task may be taken away by an order now; counts it if so.
+    /// Returns whether the task may be stopped now, and charges it to the budget if so.
     ///
-    /// All causes count together: tasks that crashed, start up, are being stopped or
-    /// were not listed lately are away as well. Else a stop on top of a crash takes
-    /// more of a step away than its owner allowed.
-    pub(super) fn take(&mut self, job: &Job, task: TaskId) -> bool {
+    /// Tasks that crashed, are starting, are being stopped or were not reported lately count
+    /// as unavailable as well. Otherwise a stop on top of a crash would disrupt more of a
+    /// step than its owner allows.
+    pub(super) fn try_take(&mut self, job: &Job, task: TaskId) -> bool {
         let step = &job.spec.steps[usize::from(task.step)];
         let (Some(max), true) = (step.disruption_budget, step.lasting) else {
             return true;
         };
         let key = TaskId { index: 0, ..task };
         let taken = self.taken.get(&key).copied().unwrap_or(0);
-        let allowed = self.away(job, task) + taken < usize::from(max);
+        let allowed = self.unavailable_peers(job, task) + taken < usize::from(max);
         if allowed {
             self.taken.insert(key, taken + 1);
         }
         allowed
     }
 
-    /// The other tasks of the step that are not at work.
-    fn away(&self, job: &Job, task: TaskId) -> usize {
+    /// Counts the other tasks of the step that are not running.
+    fn unavailable_peers(&self, job: &Job, task: TaskId) -> usize {
         let Some(occurrence) = job.occurrence(task.occurrence) else {
             return 0;
         };
@@ -425,26 +441,26 @@
             .count()
     }
 
-    /// Tasks on a worker that may not be taken away at present.
-    fn obstacles(&self, state: &State, worker: &InstanceName) -> usize {
+    /// Counts the tasks on a worker that may not be stopped at present.
+    fn blocked_tasks(&self, state: &State, worker: &InstanceName) -> usize {
         self.fleet
             .runs_on(state, worker)
             .filter(|(job, task, _)| {
                 let step = &job.spec.steps[usize::from(task.step)];
                 let max = step.disruption_budget.map_or(usize::MAX, usize::from);
-                step.lasting && self.away(job, *task) >= max
+                step.lasting && self.unavailable_peers(job, *task) >= max
             })
             .count()
     }
 }
 
-/// Runs that wait or go on in each pool.
-fn pool_use(state: &State) -> BTreeMap<PoolName, usize> {
-    let mut uses: BTreeMap<PoolName, usize> = BTreeMap::new();
+/// Counts the active jobs of each pool, without lasting ones.
+fn active_jobs_by_pool(state: &State) -> BTreeMap<PoolName, usize> {
+    let mut jobs_by_pool: BTreeMap<PoolName, usize> = BTreeMap::new();
     for job in state.active().filter(|job| !job.spec.lasts()) {
-        *uses.entry(job.pool.clone()).or_default() += 1;
+        *jobs_by_pool.entry(job.pool.clone()).or_default() += 1;
     }
-    uses
+    jobs_by_pool
 }
 
 fn machines(state: &State) -> impl Iterator<Item = (&String, &InstanceName)> {
