--- a/src/control/capacity.rs
+++ b/src/control/capacity.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::demand::{PoolDemand, WorkerUse};
-use super::{Load, Machine, MachinePhase, Offer, Policy, State};
+use super::{Load, Machine, MachinePhase, OfferedLoad, Policy, State};
 use crate::model::{InstanceName, PoolName};
 use balance::Balance;
 use peaks::Peaks;
@@ -41,7 +41,7 @@
     /// The workers and the work of each pool.
     pub demand: &'a BTreeMap<PoolName, PoolDemand>,
     /// The load that arrives at each pool now, and the load that is forecast.
-    pub offers: &'a BTreeMap<PoolName, Offer>,
+    pub offers: &'a BTreeMap<PoolName, OfferedLoad>,
     /// Workers that must not be moved now: a start is proposed on them, or they are drained for
     /// upkeep or ending.
     pub busy: &'a BTreeSet<InstanceName>,
@@ -324,7 +324,7 @@
             .collect();
         spare.sort_by(|a, b| {
             let is_unfavored = |w: &WorkerUse| is_due(w) != due;
-            let soonest = a.empties_ms.total_cmp(&b.empties_ms);
+            let soonest = a.idle_in_ms.total_cmp(&b.idle_in_ms);
             soonest.then(is_unfavored(a).cmp(&is_unfavored(b)))
         });
         spare.reverse();
--- a/src/control/demand.rs
+++ b/src/control/demand.rs
@@ -1,79 +1,80 @@
-//! How much each pool has to do, in room and machines.
+//! Resources and machines that the work of each pool needs.
 
 use std::collections::BTreeMap;
 
-use super::{Estimates, Fleet, Load, NeedsPolicy, Offer, Queue, Runs, State};
+use super::{Estimates, Fleet, Load, NeedsPolicy, OfferedLoad, Queue, Runs, State};
 use crate::jobs::{Job, Occurrence, Step, Task};
 use crate::model::{InstanceName, PoolName};
 
-/// The part of its usual run time that a task has left at least.
-const LEAST_LEFT: f64 = 0.1;
+/// Fraction of the expected run time that counts as remaining even for an overdue task.
+const MIN_REMAINING_FRACTION: f64 = 0.1;
 
-/// What a pool has and needs.
+/// The workers of a pool and the resources that its work needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolDemand {
-    /// Room that gets the work at hand done in time, without lasting tasks.
+    /// Resources that complete the present work in time, without lasting tasks.
     pub work: Load,
-    /// Room that lasting tasks hold.
+    /// Resources that lasting tasks reserve.
     pub lasting: Load,
-    /// Room that other tasks hold at present.
+    /// Resources that other tasks hold at present.
     pub held: Load,
-    /// Workers that the spread of a lasting step asks for at most.
-    pub spread: usize,
-    /// Workers that can be used.
+    /// Fewest workers over which every lasting step can be spread within its limit of tasks
+    /// per worker.
+    pub min_workers: usize,
+    /// Workers that report and take work.
     pub workers: Vec<WorkerUse>,
-    /// The room of those workers.
+    /// Total capacity of those workers.
     pub room: Load,
 }
 
-/// How a worker is used.
+/// The runs on a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerUse {
-    /// Its incarnation.
+    /// The worker's incarnation.
     pub worker: InstanceName,
-    /// Its machine.
+    /// The machine that it runs on, if it reports one.
     pub machine: Option<String>,
-    /// Runs of lasting tasks.
+    /// Number of runs of lasting tasks.
     pub lasting: usize,
-    /// Other runs.
+    /// Number of other runs, which end by themselves.
     pub passing: usize,
-    /// When the last of those should have ended, in milliseconds from now.
-    pub empties_ms: f64,
+    /// Expected time until the last of those has ended, in milliseconds.
+    pub idle_in_ms: f64,
 }
 
 impl PoolDemand {
-    /// Workers on which nothing runs.
+    /// Returns the number of workers on which nothing runs.
     pub fn idle(&self) -> usize {
         let idle = self.workers.iter().filter(|w| w.lasting + w.passing == 0);
         idle.count()
     }
 
-    /// The room of one of its workers; none if it has no worker.
+    /// Returns the mean capacity of a worker, `None` if there is no worker.
     pub fn size(&self) -> Option<Load> {
         let count = self.workers.len();
         (count > 0).then(|| self.room.times(1.0 / count as f64))
     }
 
-    /// The room that is needed to get through the work in time, and through what is
-    /// asked for.
-    pub fn needed(&self, offer: &Offer, policy: &NeedsPolicy) -> Load {
+    /// Returns the resources that are needed to complete the present, arriving and forecast
+    /// work in time.
+    pub fn needed(&self, offer: &OfferedLoad, policy: &NeedsPolicy) -> Load {
         let arriving = match policy.arrivals {
             true => offer.load.times(1.0 + offer.rise),
             false => Load::default(),
         };
         let work = self.work.max(&arriving).max(&offer.foreseen);
-        let beyond = Load::of_cores(policy.deviations * offer.deviation);
-        self.lasting.plus(&work).plus(&beyond)
+        let margin = Load::of_cores(policy.deviations * offer.deviation);
+        self.lasting.plus(&work).plus(&margin)
     }
 
-    /// The machines of some size that are needed.
-    pub fn needed_machines(&self, size: &Load, offer: &Offer, policy: &NeedsPolicy) -> usize {
+    /// Returns the number of machines of capacity `size` that are needed.
+    pub fn needed_machines(&self, size: &Load, offer: &OfferedLoad, policy: &NeedsPolicy) -> usize {
         let machines = self.needed(offer, policy).count(size);
-        (machines.ceil() as usize).max(self.spread)
+        (machines.ceil() as usize).max(self.min_workers)
     }
 }
 
-/// The demand of all pools.
+/// Computes the demand of all pools.
 pub fn demand(
     now_ms: u64,
     now_unix_ms: u64,
@@ -108,18 +109,18 @@
             machine: worker.report.machine.clone(),
             lasting,
             passing: link.runs.len().saturating_sub(lasting),
-            empties_ms: empties_ms(now_unix_ms, &link.runs),
+            idle_in_ms: idle_in_ms(now_unix_ms, &link.runs),
         });
     }
     pools
 }
 
-/// When the last of the runs on a worker that do not last should have ended, in
-/// milliseconds from now.
-fn empties_ms(now_unix_ms: u64, runs: &Runs) -> f64 {
+/// Returns the expected time until the last run on a worker, lasting ones aside, has ended,
+/// in milliseconds.
+fn idle_in_ms(now_unix_ms: u64, runs: &Runs) -> f64 {
     let expected = runs.values().filter_map(|view| view.expected);
     let left = expected.map(|(placed_unix_ms, takes_ms)| {
-        left_after(now_unix_ms.saturating_sub(placed_unix_ms), takes_ms)
+        remaining_after_ms(now_unix_ms.saturating_sub(placed_unix_ms), takes_ms)
     });
     left.fold(0.0, f64::max)
 }
@@ -150,7 +151,7 @@
                 continue;
             }
             for task in occurrence.step(step).iter().filter(|t| !t.done) {
-                let task_left_ms = left_of(now_unix_ms, task, takes_ms[step]);
+                let task_left_ms = remaining_ms(now_unix_ms, task, takes_ms[step]);
                 let after_ms = chains_ms[step].saturating_sub(takes_ms[step]);
                 left_ms = left_ms.max(task_left_ms + after_ms as f64);
                 work = work.plus(&room.times(task_left_ms));
@@ -173,21 +174,23 @@
     if tasks == 0 {
         return;
     }
-    let most = spec.per_worker_max.unwrap_or(u16::MAX).max(1);
-    pool.spread = pool.spread.max(usize::from(spec.tasks.div_ceil(most)));
+    let per_worker_max = spec.per_worker_max.unwrap_or(u16::MAX).max(1);
+    pool.min_workers = pool
+        .min_workers
+        .max(usize::from(spec.tasks.div_ceil(per_worker_max)));
     let room = Load::from(&spec.reserved());
     pool.lasting = pool.lasting.plus(&room.times(tasks as f64));
 }
 
-/// What is left of a task that usually takes so long. One that takes longer than that
-/// has something left all the same.
-fn left_of(now_unix_ms: u64, task: &Task, takes_ms: u64) -> f64 {
+/// Returns the expected remaining run time of a task, in milliseconds. A task that is overdue
+/// still has some time left.
+fn remaining_ms(now_unix_ms: u64, task: &Task, takes_ms: u64) -> f64 {
     let since_unix_ms = task.runs.iter().map(|run| run.placed_unix_ms).min();
     let passed_ms = since_unix_ms.map_or(0, |since| now_unix_ms.saturating_sub(since));
-    left_after(passed_ms, takes_ms)
+    remaining_after_ms(passed_ms, takes_ms)
 }
 
-fn left_after(passed_ms: u64, takes_ms: u64) -> f64 {
+fn remaining_after_ms(passed_ms: u64, takes_ms: u64) -> f64 {
     let takes_ms = takes_ms as f64;
-    (takes_ms - passed_ms as f64).max(takes_ms * LEAST_LEFT)
+    (takes_ms - passed_ms as f64).max(takes_ms * MIN_REMAINING_FRACTION)
 }
--- a/src/control/history.rs
+++ b/src/control/history.rs
@@ -1,9 +1,9 @@
-//! What is remembered of past load, the same on every control instance.
+//! Replicated statistics of past load, the same on every control instance.
 //!
-//! Answers a change of leader in the middle of a busy minute. What a leader learnt alone
-//! went with it: the next one took estimates at their word, saw no turn coming and let
-//! the first pools of the next round run late beside machines that were off. The log
-//! tells every instance of each job and each end anyway, so each keeps the sums.
+//! If only the leader kept these statistics, a change of leader under load would lose them:
+//! the next leader used uncorrected estimates, forecast no turn, and jobs of the next pools
+//! ran late while machines were off. The log carries every accepted job and every end of a
+//! run to all instances anyway, so each of them keeps the statistics.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +12,17 @@
 use super::{Arrivals, Configuration, Estimates, JobSize, Load};
 use crate::jobs::{Job, JobId};
 
-/// Sums over past jobs and runs.
+/// Statistics of past jobs and runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct History {
     estimates: Estimates,
-    /// By queue.
+    /// Arrivals by queue name.
     arrivals: BTreeMap<String, Arrivals>,
 }
 
 impl History {
-    /// A job that runs once was accepted.
-    pub fn arrived(&mut self, at_unix_ms: u64, job: &Job) {
+    /// Records the acceptance of a job that is not recurring and has no lasting step.
+    pub fn record_arrival(&mut self, at_unix_ms: u64, job: &Job) {
         let estimated_ms: Vec<u64> = job.spec.steps.iter().map(|s| s.estimate_ms).collect();
         let chain_ms = job.spec.chains_ms(&estimated_ms).into_iter().max();
         let steps = job.spec.steps.iter();
@@ -38,22 +38,23 @@
         arrivals.add(at_unix_ms, size);
     }
 
-    /// A task of a step took so long, from its placement to its end.
-    pub fn ended(&mut self, job: &Job, step: usize, took_ms: u64) {
+    /// Records how long a task of a step took, from its placement to its end.
+    pub fn record_end(&mut self, job: &Job, step: usize, took_ms: u64) {
         self.estimates.ended(job, step, took_ms);
     }
 
-    /// How long tasks really take.
+    /// Returns the run-time estimates, corrected by past runs.
     pub fn estimates(&self) -> &Estimates {
         &self.estimates
     }
 
-    /// The jobs that came, by queue.
+    /// Returns the arrivals by queue name.
     pub fn arrivals(&self) -> &BTreeMap<String, Arrivals> {
         &self.arrivals
     }
 
-    /// Forgets jobs that are over, and queues that are no more.
+    /// Drops jobs for which `job` returns false, and queues that the configuration no longer
+    /// has.
     pub fn retain(&mut self, job: impl Fn(JobId) -> bool, configuration: Option<&Configuration>) {
         self.estimates.retain(job);
         if let Some(configuration) = configuration {
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -283,7 +283,7 @@
             job.make_due(0);
         }
         if job.spec.recurrence.is_none() && !job.spec.lasts() {
-            self.history.arrived(at_unix_ms, &job);
+            self.history.record_arrival(at_unix_ms, &job);
         }
         self.jobs.insert(id, job);
         self.active.insert(id);
@@ -302,7 +302,7 @@
         let run = task.and_then(|task| task.runs.iter().find(|run| run.attempt == attempt));
         if let Some(run) = run.filter(|run| run.placed_unix_ms >= self.led_since_unix_ms) {
             let took_ms = at_unix_ms.saturating_sub(run.placed_unix_ms);
-            self.history.ended(job, usize::from(id.step), took_ms);
+            self.history.record_end(job, usize::from(id.step), took_ms);
         }
     }
 
--- a/tests/control/forecast.rs
+++ b/tests/control/forecast.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use rosemarygauge::control::{
-    Change, Command, Configuration, Forecast, History, JobSize, Load, NeedsPolicy, Offer, Policy,
-    PoolDemand, State, TurnsPolicy,
+    Change, Command, Configuration, Forecast, History, JobSize, Load, NeedsPolicy, OfferedLoad,
+    Policy, PoolDemand, State, TurnsPolicy,
 };
 use rosemarygauge::jobs::{Ending, Job, JobId, TaskId};
 
@@ -47,12 +47,12 @@
     let mut forecast = Forecast::default();
     let (mut right, mut foreseen) = (0, 0);
     turns(100_000, 136_000, |now_ms, pool| {
-        history.arrived(now_ms, &job_of(pool));
+        history.record_arrival(now_ms, &job_of(pool));
         let estimates = history.estimates().clone();
         forecast.tick(now_ms, &history, &estimates, &configuration);
         let to_come = 4_000 - now_ms % 4_000;
         if now_ms > 115_000 && to_come == 1_000 {
-            let next = forecast.next(now_ms, &policy);
+            let next = forecast.next_turns(now_ms, &policy);
             let after = POOLS[(now_ms / 4_000 + 1) as usize % 3];
             foreseen += next.len();
             right += next
@@ -73,7 +73,7 @@
     let mut history = History::default();
     let mut forecast = Forecast::default();
     turns(100_000, 127_000, |now_ms, pool| {
-        history.arrived(now_ms, &job_of(pool));
+        history.record_arrival(now_ms, &job_of(pool));
         forecast.tick(
             now_ms,
             &history,
@@ -83,8 +83,8 @@
     });
     let mut other = Forecast::default();
     other.tick(127_000, &history, history.estimates(), &configuration);
-    let next = other.next(127_000, &policy);
-    let expected = forecast.next(127_000, &policy);
+    let next = other.next_turns(127_000, &policy);
+    let expected = forecast.next_turns(127_000, &policy);
     assert_eq!(next.len(), 1);
     assert_eq!(next[0].0, expected[0].0);
     assert!(
@@ -104,14 +104,17 @@
     for (turn, begins_ms) in begins.iter().enumerate() {
         for at in 0..40 {
             let now_ms = 100_000 + begins_ms + at * 50;
-            history.arrived(now_ms, &job_of(POOLS[turn % 3]));
+            history.record_arrival(now_ms, &job_of(POOLS[turn % 3]));
             forecast.tick(
                 now_ms,
                 &history,
                 &history.estimates().clone(),
                 &configuration,
             );
-            assert!(forecast.next(now_ms, &policy).is_empty(), "at {now_ms}");
+            assert!(
+                forecast.next_turns(now_ms, &policy).is_empty(),
+                "at {now_ms}"
+            );
         }
     }
 }
@@ -124,7 +127,7 @@
     let mut history = History::default();
     let mut now_ms = 100_000;
     for gap_ms in (10..100).rev().step_by(2) {
-        history.arrived(now_ms, &job_of("a"));
+        history.record_arrival(now_ms, &job_of("a"));
         now_ms += gap_ms;
     }
     let mut forecast = Forecast::default();
@@ -172,7 +175,10 @@
         ..PoolDemand::default()
     };
     let policy = NeedsPolicy::default();
-    assert_eq!(demand.needed_machines(&size, &Offer::default(), &policy), 2);
+    assert_eq!(
+        demand.needed_machines(&size, &OfferedLoad::default(), &policy),
+        2
+    );
 }
 
 /// Only the number of jobs is kept by time: one huge job is no rush.
