--- a/src/control/change.rs
+++ b/src/control/change.rs
@@ -6,130 +6,131 @@
 use crate::jobs::{Ending, JobId, JobSpec, TaskId};
 use crate::model::{EntryName, InstanceName};
 
-/// An entry of the replicated log: changes that are made durable together.
+/// An entry of the replicated log: changes that become durable together.
 ///
-/// One leader batches all that waits while an earlier command is being synced, so
-/// that the number of syncs a second is bounded by the disk and not by the load.
+/// While an earlier command is being synced, the leader batches all pending changes into
+/// the next one, so that the number of syncs per second depends on the disk and not on
+/// the load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Command {
     /// The leader that proposed it.
     pub by: EntryName,
-    /// Tells this start of its process from others.
+    /// Identifies the start of the leader's process.
     pub start: u64,
-    /// Counts its commands.
+    /// Number of the command among those of this process.
     pub sequence: u64,
-    /// When it was proposed, in milliseconds since 1970.
+    /// Time of the proposal, in milliseconds since 1970.
     pub at_unix_ms: u64,
-    /// The changes, in order.
+    /// The changes, in the order in which they apply.
     pub changes: Vec<Change>,
 }
 
-/// A change of the replicated state.
+/// A change to the replicated state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// A configuration takes effect if its version is the highest.
+    /// Puts a configuration in force if its version is higher than the current one.
     Configure(Arc<Configuration>),
-    /// A part of a configuration that is too large for one change.
+    /// Adds a part of a configuration that is too large for one change.
     ConfigurePart(ConfigurationPart),
-    /// A job is accepted, unless one of its name is.
+    /// Accepts a job, unless a job with this id exists.
     Accept {
-        /// Its name.
+        /// The job's id.
         job: JobId,
         /// The name of its queue.
         queue: String,
-        /// What it is.
+        /// Its specification.
         spec: Arc<JobSpec>,
     },
-    /// A job's caller wants no more of it.
+    /// Cancels a job at the request of its caller.
     Cancel {
         /// The job.
         job: JobId,
     },
-    /// An occurrence of a recurring job is due.
+    /// Makes an occurrence of a recurring job due.
     Due {
         /// The job.
         job: JobId,
         /// The occurrence.
         occurrence: u32,
     },
-    /// A task is about to be started.
+    /// Places a task on a worker, before the worker is told to start it.
     Place {
         /// The task.
         task: TaskId,
-        /// The number of the start.
+        /// The attempt number of the start.
         attempt: u32,
-        /// Where.
+        /// The worker.
         worker: InstanceName,
     },
-    /// A start has not happened and cannot happen any more.
+    /// Withdraws a placement whose start has not happened and can no longer happen.
     Unplace {
         /// The task.
         task: TaskId,
-        /// The number of the start.
+        /// The attempt number of the start.
         attempt: u32,
-        /// Where it was to be.
+        /// The worker that it was placed on.
         worker: InstanceName,
     },
-    /// A run ended.
+    /// Records the end of a run.
     End {
         /// The task.
         task: TaskId,
-        /// The number of the start.
+        /// The attempt number of the run.
         attempt: u32,
-        /// Where it ran.
+        /// The worker that it ran on.
         worker: InstanceName,
         /// How it ended.
         ending: Ending,
-        /// Its saved progress; empty for none.
+        /// The saved progress of the task, empty if there is none.
         checkpoint: String,
     },
-    /// A worker is taken in, or its phase has changed.
+    /// Adds a worker, or updates what it reports about itself.
     Report(Arc<Report>),
-    /// A worker said that it ends.
+    /// Marks a worker that announced its shutdown.
     Leave {
         /// The worker.
         worker: InstanceName,
     },
-    /// All that ran on a worker has provably ended with its leases.
+    /// Ends all runs on a worker, because its leases have expired.
     Lapse {
         /// The worker.
         worker: InstanceName,
     },
-    /// A worker's incarnation is over.
+    /// Removes a worker whose incarnation has ended, and ends all its runs.
     Gone {
         /// The worker.
         worker: InstanceName,
     },
-    /// A maintenance wave is accepted, unless one of its number is.
+    /// Accepts a maintenance wave, unless one with this number exists.
     Wave(Wave),
-    /// The upkeep of a machine is about to be ordered.
+    /// Records that the upkeep of a machine is about to be ordered.
     UpkeepAsked {
         /// The wave's number.
         wave: u64,
         /// The machine.
         machine: String,
-        /// The incarnation on it, none if it is off.
+        /// The worker incarnation on the machine; `None` if the machine is off.
         worker: Option<InstanceName>,
     },
-    /// The upkeep of a machine has begun, or the machine is gone for good.
+    /// Records that the upkeep of a machine has begun, or that the machine no longer exists.
     UpkeepBegun {
         /// The wave's number.
         wave: u64,
         /// The machine.
         machine: String,
     },
-    /// Jobs that ended before are forgotten.
+    /// Forgets jobs that ended before a time.
     Forget {
-        /// In milliseconds since 1970.
+        /// The time, in milliseconds since 1970.
         before_unix_ms: u64,
     },
 }
 
-/// What a change takes beside the parts that vary: names, numbers and labels.
-const SMALL_BYTES: usize = 512;
+/// Allowance for the parts of a change whose size hardly varies: names, numbers and labels.
+const BASE_CHANGE_BYTES: usize = 512;
 
 impl Change {
-    /// The job that it changes, if it is about one.
+    /// Returns the job that the change affects, if it affects a single one.
     pub fn job(&self) -> Option<JobId> {
         match self {
             Self::Accept { job, .. } | Self::Cancel { job } | Self::Due { job, .. } => Some(*job),
@@ -149,9 +150,9 @@
         }
     }
 
-    /// About how many bytes it takes in a command, rather too many.
+    /// Returns an upper estimate of the encoded size of the change, in bytes.
     pub fn size_bytes(&self) -> usize {
-        SMALL_BYTES
+        BASE_CHANGE_BYTES
             + match self {
                 Self::Configure(configuration) => configuration.size_bytes(),
                 Self::ConfigurePart(part) => part.size_bytes(),
--- a/src/control/configuration.rs
+++ b/src/control/configuration.rs
@@ -5,32 +5,32 @@
 use super::{ConfigurationFault, Queue};
 use crate::model::PoolName;
 
-/// The most that a configuration may take as it is stored. 70 pools, 210 teams' quotas in
-/// each and 1,000 queues take some 1.2 MiB; between instances one message carries it, and
-/// has 4 MiB at most.
+/// Largest encoded configuration. 70 pools with 210 teams' quotas each and 1,000 queues take
+/// some 1.2 MiB. A configuration has to fit into one message between instances, which has
+/// 4 MiB at most.
 pub const CONFIGURATION_LIMIT_BYTES: usize = 3 << 20;
 
 /// A whole configuration: queues and pools under one version.
 ///
-/// It is kept twice: as its author sent it, to be read back word for word, and as
-/// what it says.
+/// It holds both the parsed form and the document as its author sent it, which is returned
+/// unchanged when it is read back.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// The highest version is in force.
+    /// Version; the highest one is in force.
     pub version: u64,
-    /// Where jobs are handed in.
+    /// The queues that accept jobs.
     pub queues: Vec<Queue>,
-    /// The pools, and whether their machines are off.
+    /// The pools, each with whether it is a standby pool, whose machines are off.
     pub pools: BTreeMap<PoolName, bool>,
-    /// The document as it came.
+    /// The document as it was sent.
     pub document: Vec<u8>,
 }
 
 impl Configuration {
-    /// Checks it.
+    /// Validates the configuration.
     ///
     /// # Errors
-    /// The first fault found.
+    /// Returns the first fault found.
     pub fn check(&self) -> Result<(), ConfigurationFault> {
         let limit_bytes = CONFIGURATION_LIMIT_BYTES;
         let size_bytes = self.size_bytes();
@@ -64,12 +64,12 @@
         Ok(())
     }
 
-    /// Its size as it is stored.
+    /// Returns the encoded size in bytes.
     pub fn size_bytes(&self) -> usize {
         crate::codec::encode(self).len()
     }
 
-    /// The queue with the longest prefix of the path at this host.
+    /// Returns the queue of a host whose prefix is the longest match for a path.
     pub fn queue_at(&self, host: &str, path: &str) -> Option<&Queue> {
         self.queues
             .iter()
@@ -77,18 +77,18 @@
             .max_by_key(|q| q.path_prefix.len())
     }
 
-    /// All queues by their names, for whoever looks many up: with some hundred queues a
-    /// walk through them for every job took most of a leader's time.
+    /// Returns all queues by name, for callers that look up many: with some hundred queues, a
+    /// linear search for every job took most of the leader's processor time.
     pub fn queues_by_name(&self) -> BTreeMap<&str, &Queue> {
         self.queues.iter().map(|q| (q.name.as_str(), q)).collect()
     }
 
-    /// The queue with this name.
+    /// Returns the queue with this name.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         self.queues.iter().find(|q| q.name == name)
     }
 
-    /// The pools whose machines are off until they are needed.
+    /// Returns the standby pools, whose machines are off until they are needed.
     pub fn standby(&self) -> BTreeSet<&PoolName> {
         let standby = self.pools.iter().filter(|(_, standby)| **standby);
         standby.map(|(pool, _)| pool).collect()
--- a/src/control/configuration_fault.rs
+++ b/src/control/configuration_fault.rs
@@ -1,43 +1,43 @@
-/// What is wrong with a configuration, with the remedy.
+/// A fault in a configuration, displayed with its remedy.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 pub enum ConfigurationFault {
-    /// It cannot be read.
+    /// The document cannot be decoded.
     #[display("it cannot be read in full ({cause}): send it whole")]
     Unreadable {
-        /// Why.
+        /// The decoding error.
         cause: String,
     },
-    /// A queue of a pool that is not there.
+    /// A queue names a pool that is not listed.
     #[display("queue {queue} names the pool {pool}, which is not listed: add it")]
     UnknownPool {
         /// The queue.
         queue: String,
-        /// What it names.
+        /// The pool that it names.
         pool: String,
     },
-    /// Two queues in one place.
+    /// Two queues have the same host and path prefix.
     #[display("queues {first} and {second} share host and prefix: change one")]
     SamePlace {
-        /// One of them.
+        /// Name of the first queue.
         first: String,
-        /// The other.
+        /// Name of the second queue.
         second: String,
     },
-    /// A timeout of nothing.
+    /// A queue has a timeout of 0.
     #[display("queue {queue} has a timeout of 0: give it at least 1 ms")]
     NoTimeout {
         /// The queue.
         queue: String,
     },
-    /// It is too large to be kept.
+    /// The configuration is larger than [`CONFIGURATION_LIMIT_BYTES`](super::CONFIGURATION_LIMIT_BYTES).
     #[display(
         "it takes {size_bytes} bytes as it is kept, {limit_bytes} are the most: \
          drop queues that nobody uses, or shorten names"
     )]
     TooLarge {
-        /// Its size.
+        /// Its encoded size.
         size_bytes: usize,
-        /// The limit.
+        /// The largest encoded size.
         limit_bytes: usize,
     },
 }
--- a/src/control/configuration_parts.rs
+++ b/src/control/configuration_parts.rs
@@ -2,63 +2,64 @@
 
 use super::Configuration;
 
-/// The most of a configuration in one change: half of what a command may carry, so that
-/// other changes travel beside it.
-const PART_BYTES: usize = 128 << 10;
+/// Largest part of a configuration in one change: half of what a command may carry, so that
+/// other changes fit beside it.
+const MAX_PART_BYTES: usize = 128 << 10;
 
 /// A part of a configuration that is too large for one command of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationPart {
-    /// Whether it begins a configuration: what came before without an end is dropped.
+    /// Whether this is the first part; an incomplete configuration before it is dropped.
     first: bool,
-    /// Whether the configuration is whole with it.
+    /// Whether this is the last part.
     last: bool,
     bytes: Vec<u8>,
 }
 
 impl ConfigurationPart {
-    /// The parts of a configuration, in order.
+    /// Splits a configuration into its parts, in order.
     pub fn split(configuration: &Configuration) -> Vec<Self> {
         let bytes = crate::codec::encode(configuration);
-        let count = bytes.len().div_ceil(PART_BYTES);
-        let parts = bytes.chunks(PART_BYTES).enumerate();
+        let count = bytes.len().div_ceil(MAX_PART_BYTES);
+        let parts = bytes.chunks(MAX_PART_BYTES).enumerate();
         parts
-            .map(|(place, part)| Self {
-                first: place == 0,
-                last: place + 1 == count,
+            .map(|(index, part)| Self {
+                first: index == 0,
+                last: index + 1 == count,
                 bytes: part.to_vec(),
             })
             .collect()
     }
 
-    /// Whether a configuration fits into one change.
+    /// Returns whether a configuration fits into one change.
     pub fn is_whole(configuration: &Configuration) -> bool {
-        configuration.size_bytes() <= PART_BYTES
+        configuration.size_bytes() <= MAX_PART_BYTES
     }
 
-    /// Whether the configuration is whole with it.
+    /// Returns whether this is the last part.
     pub fn is_last(&self) -> bool {
         self.last
     }
 
-    /// How much it takes.
+    /// Returns the size of the part in bytes.
     pub fn size_bytes(&self) -> usize {
         self.bytes.len()
     }
 }
 
-/// The parts of a configuration that is on its way.
+/// Reassembles a configuration from its parts.
 ///
-/// One is enough: a leader proposes all parts of one before those of the next, and the
-/// log has all of one leader's commands before those of a later leader. What a leader
-/// left unfinished is dropped with the next first part; its operator sends it again.
+/// One buffer is enough: a leader proposes all parts of a configuration before those of the
+/// next, and the log has all commands of a leader before those of a later one. A
+/// configuration that a lost leader left incomplete is dropped at the next first part; its
+/// operator sends it again.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationParts {
     bytes: Vec<u8>,
 }
 
 impl ConfigurationParts {
-    /// Takes the next part; returns the configuration once it is whole.
+    /// Adds the next part; returns the configuration once it is complete.
     pub fn take(&mut self, part: &ConfigurationPart) -> Option<Configuration> {
         if part.first {
             self.bytes.clear();
@@ -70,7 +71,8 @@
         let bytes = std::mem::take(&mut self.bytes);
         crate::codec::decode(&bytes)
             .map_err(|err| {
-                // The first parts were a lost leader's: nobody was told that it is held.
+                // A leader was lost between the parts. No operator was told that this
+                // configuration was accepted.
                 tracing::warn!(%err, size_bytes = bytes.len(), "configuration: parts are missing");
             })
             .ok()
--- a/src/control/machine.rs
+++ b/src/control/machine.rs
@@ -2,32 +2,32 @@
 
 use crate::model::{InstanceName, PoolName};
 
-/// A machine as its keeper lists it.
+/// A machine as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Its name; stays through moves and upkeeps.
+    /// Name of the machine, which moves and upkeeps do not change.
     pub name: String,
     /// The pool that it is in.
     pub pool: PoolName,
-    /// What it does.
+    /// Its present phase.
     pub phase: MachinePhase,
-    /// The incarnation that runs on it, if one does.
+    /// The worker incarnation that runs on it, if any.
     pub worker: Option<InstanceName>,
 }
 
-/// What a machine does.
+/// Phase of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 pub enum MachinePhase {
-    /// It is up, or off in a standby pool and ready to come.
+    /// It is up or, in a standby pool, off and available.
     #[display("up")]
     Up,
-    /// It moves to another pool.
+    /// It is moving to another pool.
     #[display("moving")]
     Moving,
     /// It is down for its upkeep.
     #[display("upkeep")]
     Upkeep,
-    /// It is down.
+    /// It is down for another reason.
     #[display("down")]
     Down,
 }
--- a/src/control/machine_list.rs
+++ b/src/control/machine_list.rs
@@ -2,86 +2,88 @@
 
 use super::Machine;
 
-/// How often the list is read: only others' doings change it, and each reading is a
-/// call to the platform.
-const READ_MS: u64 = 15_000;
-/// How often it is read while a machine that is due for upkeep is not to be seen.
-const READ_MISSING_MS: u64 = 4_000;
-/// Pause before a list that did not come is asked for again.
-const RETRY_MS: u64 = 1_000;
+/// Interval between reads of the list. Only changes that the leader did not order need it,
+/// and each read is a call to the platform.
+const READ_INTERVAL_MS: u64 = 15_000;
+/// Interval between reads while a machine that is due for upkeep is missing.
+const MISSING_READ_INTERVAL_MS: u64 = 4_000;
+/// Delay before a read that failed is tried again.
+const RETRY_DELAY_MS: u64 = 1_000;
 
-/// The keeper's list of the machines as it was read last, and which machines of waves
-/// are gone for good.
+/// The platform's list of machines as of the last read, and the machines of waves that no
+/// longer exist.
 #[derive(Debug)]
 pub struct MachineList {
     names: BTreeSet<String>,
-    /// When it is asked for next.
-    due_ms: u64,
-    /// When it was asked for, while it is awaited.
-    asked_ms: Option<u64>,
-    /// When the one that was read last was asked for, and when it came.
-    as_of_ms: u64,
-    read_ms: u64,
-    /// Machines that are not to be seen, and since when.
+    /// Time of the next request.
+    next_request_ms: u64,
+    /// Time of the request that is not answered yet.
+    requested_ms: Option<u64>,
+    /// Times at which the list that was read last was requested and received.
+    last_requested_ms: u64,
+    received_ms: u64,
+    /// Machines of waves that are missing, each with the time since when.
     missing: BTreeMap<String, u64>,
     gone: BTreeSet<String>,
 }
 
 impl MachineList {
-    /// Nothing is read yet; it is asked for at once.
+    /// Creates an empty list whose first read is due at once.
     pub fn new(now_ms: u64) -> Self {
         Self {
             names: BTreeSet::new(),
-            due_ms: now_ms,
-            asked_ms: None,
-            as_of_ms: 0,
-            read_ms: now_ms,
+            next_request_ms: now_ms,
+            requested_ms: None,
+            last_requested_ms: 0,
+            received_ms: now_ms,
             missing: BTreeMap::new(),
             gone: BTreeSet::new(),
         }
     }
 
-    /// Whether to ask for it now; it counts as asked for then.
+    /// Returns whether to request the list now, and if so records the request.
     pub fn ask(&mut self, now_ms: u64) -> bool {
-        let due = now_ms >= self.due_ms && self.asked_ms.is_none();
+        let due = now_ms >= self.next_request_ms && self.requested_ms.is_none();
         if due {
-            self.asked_ms = Some(now_ms);
+            self.requested_ms = Some(now_ms);
         }
         due
     }
 
-    /// Takes the list, none if it did not come.
+    /// Records the answer to a request, `None` if the request failed.
     pub fn read(&mut self, now_ms: u64, machines: Option<&[Machine]>) {
-        let asked_ms = self.asked_ms.take();
+        let requested_ms = self.requested_ms.take();
         let Some(machines) = machines else {
-            self.due_ms = now_ms + RETRY_MS;
+            self.next_request_ms = now_ms + RETRY_DELAY_MS;
             return;
         };
         self.names = machines.iter().map(|m| m.name.clone()).collect();
-        self.as_of_ms = asked_ms.unwrap_or(0);
-        self.read_ms = now_ms;
-        self.due_ms = now_ms + READ_MS;
+        self.last_requested_ms = requested_ms.unwrap_or(0);
+        self.received_ms = now_ms;
+        self.next_request_ms = now_ms + READ_INTERVAL_MS;
     }
 
-    /// The machine is there.
+    /// Records that a machine is present.
     pub fn seen(&mut self, machine: &str) {
         self.missing.remove(machine);
     }
 
-    /// A machine of a wave is not to be seen; `true` once, when the list tells that it is
-    /// gone for good.
+    /// Records that a machine of a wave is missing. Returns `true` once, when a list shows that
+    /// the machine no longer exists.
     ///
-    /// Only a list that was asked for since it is missing tells. One that came, or moved,
-    /// after an older list was read would be taken for gone, and its wave be said to be
-    /// done without its upkeep.
+    /// Only a list that was requested after the machine went missing counts. With an older list,
+    /// a machine that was added or moved after that list was read would be taken for gone, and
+    /// its wave would complete without its upkeep.
     pub fn has_gone(&mut self, now_ms: u64, machine: &str) -> bool {
         let missing_ms = *self.missing.entry(machine.to_owned()).or_insert(now_ms);
-        self.due_ms = self.due_ms.min(self.read_ms + READ_MISSING_MS);
-        let told = self.as_of_ms > missing_ms && !self.names.contains(machine);
-        told && self.gone.insert(machine.to_owned())
+        self.next_request_ms = self
+            .next_request_ms
+            .min(self.received_ms + MISSING_READ_INTERVAL_MS);
+        let is_confirmed = self.last_requested_ms > missing_ms && !self.names.contains(machine);
+        is_confirmed && self.gone.insert(machine.to_owned())
     }
 
-    /// Whether a machine was found to be gone for good.
+    /// Returns whether a machine was found to no longer exist.
     pub fn is_gone(&self, machine: &str) -> bool {
         self.gone.contains(machine)
     }
--- a/src/control/machine_order.rs
+++ b/src/control/machine_order.rs
@@ -2,53 +2,53 @@
 
 use crate::model::PoolName;
 
-/// An order to the platform that keeps the machines.
+/// An order to the platform that manages the machines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MachineOrder {
-    /// Names it in the outcome.
+    /// Identifies the order in its outcome.
     pub id: u64,
     /// The leader's fencing token.
     pub fence: u64,
     /// The machine.
     pub machine: String,
-    /// What to do with it.
+    /// The action.
     pub kind: MachineOrderKind,
 }
 
-/// What to do with a machine.
+/// The action that an order asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachineOrderKind {
-    /// Begin its upkeep; all that runs on it ends.
+    /// Begin the machine's upkeep; all runs on it end.
     Upkeep {
         /// The number of the wave that it belongs to.
         wave: u64,
     },
-    /// Move it to another pool; all that runs on it ends.
+    /// Move the machine to another pool; all runs on it end.
     Move {
-        /// The pool.
+        /// The destination pool.
         pool: PoolName,
     },
 }
 
-/// What came of an order to the platform.
+/// Outcome of an order to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum MachineOutcome {
-    /// It is done, now or before.
+    /// The order is carried out, now or by an earlier request.
     #[display("done")]
     Done,
-    /// A higher fencing token was seen for the machine.
+    /// Refused: the platform has seen a higher fencing token for the machine.
     #[display("fenced")]
     Fenced,
-    /// The machine is not up, or leaves.
+    /// Refused: the machine is not up, or is leaving.
     #[display("busy")]
     Busy,
-    /// There is no such machine, or it is not of that wave.
+    /// The machine does not exist, or does not belong to that wave.
     #[display("no such machine")]
     NoSuchMachine,
-    /// The platform takes no more calls now.
+    /// Refused: the platform is overloaded.
     #[display("overloaded")]
     Overloaded,
-    /// Whether it was done is not known.
+    /// There was no answer; the order may have been carried out.
     #[display("unanswered")]
     Unanswered,
 }
--- a/src/control/policy.rs
+++ b/src/control/policy.rs
@@ -1,7 +1,8 @@
-//! The weights, thresholds and mechanisms of scheduling and capacity, in one place.
+//! Tunable weights, thresholds and switches of scheduling and capacity planning.
 //!
-//! Decisions get a [`Policy`] as an argument, so that tests, measurements and the file
-//! that an operator may write use the same. Each default stands beside its ground.
+//! Every decision takes a [`Policy`] as an argument, so that tests, measurements and the
+//! operator's policy file use the same type. The fields are the keys of that file; their
+//! documentation gives the reason for the default.
 
 use std::path::Path;
 
@@ -9,58 +10,58 @@
 
 use super::PolicyFault;
 
-/// How a leader weighs what it decides.
+/// Parameters of the leader's decisions, as in the operator's policy file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// How much room each pool needs.
+    /// Resources that each pool needs.
     pub needs: NeedsPolicy,
-    /// Turns of demand that are foreseen.
+    /// Forecast of the pools' turns of peak demand.
     pub turns: TurnsPolicy,
-    /// Machines that move between pools.
+    /// Moves of machines between pools.
     pub moves: MovesPolicy,
-    /// Machines that are off while nobody needs them.
+    /// Machines that are powered off while no pool needs them.
     pub standby: StandbyPolicy,
-    /// Which work goes first.
+    /// Order in which jobs are placed.
     pub order: OrderPolicy,
-    /// Where work goes.
+    /// Choice of workers for tasks.
     pub placement: PlacementPolicy,
-    /// Runs that go wrong.
+    /// Runs that stall or fail.
     pub runs: RunsPolicy,
-    /// Machines that are due for upkeep.
+    /// Maintenance waves.
     pub upkeep: UpkeepPolicy,
-    /// Followers that carry out orders for the leader.
+    /// Followers that send orders to workers on behalf of the leader.
     pub carriers: CarriersPolicy,
 }
 
-/// How much room each pool needs.
+/// Resources that each pool needs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NeedsPolicy {
-    /// A job's work is wanted within the time that its chain of steps still takes, as it
-    /// cannot be done sooner, but not within less than this: what is about to end asks
-    /// for nothing more.
+    /// Shortest time over which the remaining work of a job is spread. It is otherwise
+    /// spread over the remaining time of the job's chain of steps, as the job cannot end
+    /// sooner. Without the bound, jobs that are about to end would ask for more machines.
     pub shortest_ms: u64,
-    /// Work that cannot be on time any more is wanted within this time: it fills what the
-    /// rest leaves.
+    /// Time over which the work of a job is spread that can no longer be on time: such work
+    /// uses what other work leaves free.
     pub late_ms: u64,
-    /// Whether arrivals count, and not only the work that is there.
+    /// Whether the rate of arrivals counts, in addition to the accepted work.
     pub arrivals: bool,
-    /// The time over which arrivals are counted, at least.
+    /// Shortest window over which arrivals are counted.
     pub window_ms: u64,
-    /// Jobs that are counted at least, over up to four times as long: fewer come by
-    /// chance.
+    /// Fewest jobs in the window; it is extended up to fourfold to reach them, as the rate of
+    /// fewer jobs is mostly chance.
     pub jobs: u32,
-    /// How far ahead a rise of arrivals is carried on: the time of a move and of the new
-    /// worker's first listing. 0 takes arrivals to stay as they are.
+    /// How far ahead a rise of the arrival rate is extrapolated: the time of a move and of
+    /// the new worker's first report. 0 assumes a constant rate.
     pub ahead_ms: u64,
-    /// A rise is one if it is so many times as large as what chance makes of it.
+    /// Number of standard deviations above which a rise of the arrival rate is significant.
     pub rise_deviations: f64,
-    /// The part of such a rise that is believed.
+    /// Fraction of a significant rise that is extrapolated.
     pub rise_part: f64,
-    /// It is taken for no more than this multiple of what comes now.
+    /// Largest extrapolated rise, as a multiple of the present rate.
     pub rise_most: f64,
-    /// Room beyond what is offered, in standard deviations of what jobs ask for.
+    /// Safety margin above the offered load, in standard deviations of that load.
     pub deviations: f64,
 }
 
@@ -81,23 +82,25 @@
     }
 }
 
-/// Turns of demand that are foreseen.
+/// Forecast of the pools' turns of peak demand.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TurnsPolicy {
-    /// Whether turns are foreseen at all.
+    /// Whether turns are forecast.
     pub foresee: bool,
-    /// Gaps between turns that must have been seen.
+    /// Number of intervals between turns that must have been observed before a forecast.
     pub gaps: usize,
-    /// Turns are even if no gap differs more from their mean than this part of it.
+    /// Turns are regular if no interval deviates from the mean by more than this fraction of
+    /// the mean.
     pub even_part: f64,
-    /// How long before a turn begins its machines set out.
+    /// How long before a forecast turn its machines are ordered to move.
     pub ahead_ms: u64,
-    /// How long after its time a turn that was foreseen may begin; then it was a mistake.
+    /// How long after its forecast time a turn may begin before the forecast is dropped.
     pub late_ms: u64,
-    /// The part of a turn's usual peak that is prepared before it begins.
+    /// Fraction of the usual peak that is provided before a turn begins.
     pub peak_part: f64,
-    /// How many pools may be prepared for when it is not known whose turn comes.
+    /// Most pools to prepare when several are candidates for the next turn; with more
+    /// candidates none is prepared.
     pub pools: usize,
 }
 
@@ -115,22 +118,22 @@
     }
 }
 
-/// Machines that move between pools.
+/// Moves of machines between pools.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MovesPolicy {
-    /// Whether machines move by demand.
+    /// Whether machines move with demand.
     pub enabled: bool,
-    /// A machine that came to a pool stays at least so long: a move takes 1.5 s in which
-    /// it does nothing, so a shorter stay is mostly travel.
+    /// Shortest stay of a machine in a pool. A move takes 1.5 s in which the machine does no
+    /// work, so a shorter stay does not pay off.
     pub stay_ms: u64,
-    /// What a pool needed at most in this time it does not give to another: a gap
-    /// between two arrivals is shorter.
+    /// A pool keeps the most machines that it needed within this time. A gap between two
+    /// arrivals is shorter, so it does not release machines.
     pub surplus_ms: u64,
-    /// A machine that is being emptied for a move goes when it is empty, or after this
-    /// stays: its work took longer than the surplus can be trusted.
+    /// Longest drain of a machine for a move; after that it stays in its pool, because the
+    /// surplus that it was taken from may no longer exist.
     pub empty_ms: u64,
-    /// Machines that a pool keeps whatever its need, if it has them.
+    /// Machines that a pool keeps regardless of its need, if it has them.
     pub fewest: usize,
 }
 
@@ -146,18 +149,19 @@
     }
 }
 
-/// Machines that are off while nobody needs them.
+/// Machines that are powered off while no pool needs them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StandbyPolicy {
-    /// Whether machines go off.
+    /// Whether machines are powered off.
     pub enabled: bool,
-    /// What a pool needed at most in this time stays on. Off and on again costs two
-    /// moves, about as much as a machine-second each, and the time of the way.
+    /// A pool keeps the most machines that it needed within this time powered on. To power a
+    /// machine off and on costs two moves, each about as much as a machine-second, and the
+    /// time that they take.
     pub surplus_ms: u64,
-    /// Needs are watched for so long before any machine goes off.
+    /// How long the needs of a pool are observed before any of its machines is powered off.
     pub watch_ms: u64,
-    /// Machines of a pool that stay on whatever its need.
+    /// Machines of a pool that stay on regardless of its need.
     pub fewest: usize,
 }
 
@@ -172,22 +176,23 @@
     }
 }
 
-/// Which work goes first.
+/// Order in which jobs are placed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OrderPolicy {
-    /// Whether work that can be on time goes before work that cannot.
+    /// Whether jobs that can still be on time go before jobs that cannot.
     pub by_class: bool,
-    /// Whether the least work goes first, instead of the first come.
+    /// Whether the job with the least work goes first, instead of the earliest one.
     pub least_work: bool,
-    /// What the large jobs of a queue get of the part that their work would be in
-    /// proportion; 0 gives them no share of their own. With 1 both groups were served
-    /// alike; below a half the largest would be served less than half as often.
+    /// Share that the large jobs of a queue get, as a fraction of their share of the work; 0
+    /// gives them no share of their own. With 1 large and small jobs are served alike; below
+    /// a half the largest jobs would be served less than half as often.
     pub large_part: f64,
-    /// Whether run times are learnt, instead of taken as estimated.
+    /// Whether run times are learnt from past runs, instead of taken from the estimates.
     pub learn: bool,
-    /// What the work that is left of a job counts once something of it was placed: what is
-    /// begun and not ended in time has taken its room for nothing. 1 makes no difference.
+    /// Weight of the remaining work of a job once one of its tasks was placed: a job that is
+    /// started and not completed in time has used its resources for nothing. 1 makes no
+    /// difference.
     pub begun_part: f64,
 }
 
@@ -203,18 +208,18 @@
     }
 }
 
-/// Where work goes.
+/// Choice of workers for tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlacementPolicy {
-    /// Whether the fullest worker that has room is chosen, instead of the freest.
+    /// Whether the fullest worker with room is chosen (bin packing), instead of the freest.
     pub pack: bool,
     /// Whether lasting tasks avoid machines that are due for upkeep.
     pub avoid_due: bool,
-    /// Starts on their way at once. Without a bound a turn's first pass orders thousands:
-    /// the leader needs longer to write them than an answer is waited for, sends them all
-    /// again, and collapses under its own repetitions. 1,200 starts a second that take
-    /// 40 ms each, sync and all, keep 48 on their way; four times that leaves room for
+    /// Most starts in flight at once. Without a bound the first pass of a turn orders
+    /// thousands; the leader needs longer to write them than their answer timeout, sends all
+    /// of them again and is overloaded by its own retries. 1,200 starts a second that take
+    /// 40 ms each, with the log sync, keep 48 in flight; four times that leaves room for
     /// workers that do not answer.
     pub starts_open: usize,
 }
@@ -229,17 +234,20 @@
     }
 }
 
-/// Runs that go wrong.
+/// Runs that stall or fail.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RunsPolicy {
-    /// No progress for so long is a standstill: a task that works moves by a percent in a
-    /// fraction of that, and a listing is at most a second old. 0 takes nothing for one.
+    /// Time without progress after which a run counts as stalled. A task that works advances
+    /// by a percent in a fraction of that, and a report is at most a second old. 0 disables
+    /// the check.
     pub still_ms: u64,
-    /// With this many recent failures a worker rests: two tasks in a row that fail by
-    /// their own fault on one worker are rare (one in 500 fails so). 0 rests none.
+    /// Number of recent failures from which a worker gets no new tasks for a while. Two tasks
+    /// in a row that fail by their own fault on one worker are rare (one in 500 fails so). 0
+    /// disables the check.
     pub failures_max: f64,
-    /// How long it rests; then one more failure sends it back.
+    /// How long such a worker gets no new tasks; after that one more failure excludes it
+    /// again.
     pub failures_rest_ms: u64,
 }
 
@@ -253,15 +261,15 @@
     }
 }
 
-/// Machines that are due for upkeep.
+/// Maintenance waves.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct UpkeepPolicy {
-    /// How long tasks that end by themselves are waited for. Most run a second or two;
-    /// what is left then is stopped with its progress saved.
+    /// How long the drain of a machine waits for tasks that end by themselves. Most run a
+    /// second or two; the others are then stopped with their progress saved.
     pub patience_ms: u64,
-    /// The part of a wave's time in which all is planned to begin; the rest is for
-    /// machines that are down or full when their turn comes.
+    /// Fraction of a wave's duration within which all upkeeps are planned to begin. The rest
+    /// is a reserve for machines that are down or full when they are due.
     pub goal_part: f64,
 }
 
@@ -274,17 +282,16 @@
     }
 }
 
-/// Followers that carry out orders for the leader.
+/// Followers that send orders to workers on behalf of the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CarriersPolicy {
-    /// Workers that one instance calls.
+    /// Most workers that one instance calls.
     ///
-    /// Up to so many the leader calls all of them itself: the way by a follower is one more
-    /// hop there and one back, some milliseconds of each start and each end, and gains
-    /// nothing while the leader has time. Above,
-    /// so many followers share them as are needed for this: each costs the leader messages
-    /// of its own.
+    /// Up to this number the leader calls all workers itself: a follower in between adds a
+    /// hop in each direction, some milliseconds for each start and each end, and gains
+    /// nothing while the leader has capacity. Above it the workers are shared out to as few
+    /// followers as possible, since each follower costs the leader messages of its own.
     pub workers_each: usize,
 }
 
@@ -295,8 +302,8 @@
 }
 
 impl CarriersPolicy {
-    /// How many followers a fleet of so many workers needs; none if the leader calls all
-    /// of them itself.
+    /// Returns how many followers a fleet of `workers` workers needs; 0 if the leader calls
+    /// all of them itself.
     pub fn wanted(&self, workers: usize) -> usize {
         let each = self.workers_each.max(1);
         if workers <= each {
@@ -307,14 +314,15 @@
     }
 }
 
-/// The longest time that is taken for meant, in milliseconds.
-const TIME_MAX_MS: f64 = 600_000.0;
+/// Upper bound of all times in a policy, in milliseconds: a longer time is taken for a
+/// mistake.
+const MAX_TIME_MS: f64 = 600_000.0;
 
 impl Policy {
-    /// Reads the policy in a file.
+    /// Reads the policy file at `path`.
     ///
     /// # Errors
-    /// Everything that is wrong, with a remedy.
+    /// Returns all faults, each with its remedy.
     pub fn load(path: &Path) -> Result<Self, Vec<PolicyFault>> {
         let text = std::fs::read_to_string(path).map_err(|err| {
             vec![PolicyFault::NoFile {
@@ -325,10 +333,10 @@
         Self::parse(&text)
     }
 
-    /// Reads a policy; what it does not name stays as it is by default.
+    /// Parses a policy from JSON; fields that it does not name have their defaults.
     ///
     /// # Errors
-    /// Everything that is wrong, with a remedy.
+    /// Returns all faults, each with its remedy.
     pub fn parse(text: &str) -> Result<Self, Vec<PolicyFault>> {
         let policy: Self = serde_json::from_str(text).map_err(|err| {
             vec![PolicyFault::Unreadable {
@@ -343,19 +351,19 @@
         }
     }
 
-    /// What is out of its range.
+    /// Returns a fault for every value that is out of its range.
     pub fn faults(&self) -> Vec<PolicyFault> {
-        let time = |ms: u64| (ms as f64, 0.0, TIME_MAX_MS);
-        let count = |count: usize, least: f64| (count as f64, least, 100_000.0);
-        let part = |part: f64, most: f64| (part, 0.0, most);
+        let time = |ms: u64| (ms as f64, 0.0, MAX_TIME_MS);
+        let count = |count: usize, min: f64| (count as f64, min, 100_000.0);
+        let part = |part: f64, max: f64| (part, 0.0, max);
         let fields = [
             (
                 "needs.shortest_ms",
-                (self.needs.shortest_ms as f64, 1.0, TIME_MAX_MS),
+                (self.needs.shortest_ms as f64, 1.0, MAX_TIME_MS),
             ),
             (
                 "needs.late_ms",
-                (self.needs.late_ms as f64, 1.0, TIME_MAX_MS),
+                (self.needs.late_ms as f64, 1.0, MAX_TIME_MS),
             ),
             (
                 "needs.window_ms",
@@ -399,15 +407,15 @@
                 count(self.carriers.workers_each, 1.0),
             ),
         ];
-        let wrong = fields.into_iter().filter(|(_, (value, least, most))| {
-            !value.is_finite() || value < least || value > most
-        });
-        wrong
-            .map(|(field, (value, least, most))| PolicyFault::OutOfRange {
+        let out_of_range = fields
+            .into_iter()
+            .filter(|(_, (value, min, max))| !value.is_finite() || value < min || value > max);
+        out_of_range
+            .map(|(field, (value, min, max))| PolicyFault::OutOfRange {
                 field,
                 value,
-                least,
-                most,
+                min,
+                max,
             })
             .collect()
     }
--- a/src/control/policy_fault.rs
+++ b/src/control/policy_fault.rs
@@ -1,30 +1,30 @@
-/// What is wrong with a policy, with the remedy.
+/// A fault in a policy, displayed with its remedy.
 #[derive(Clone, Debug, PartialEq, derive_more::Display, derive_more::Error)]
 pub enum PolicyFault {
     /// The file cannot be read.
     #[display("policy {path}: {cause}; name a file that can be read")]
     NoFile {
-        /// Where it should be.
+        /// Path of the file.
         path: String,
-        /// Why it cannot.
+        /// The error of the operating system.
         cause: String,
     },
-    /// It cannot be read, or names what there is not.
-    #[display("policy: {cause}; mend the field, or leave it out for its default")]
+    /// The text is not JSON, or has an unknown field or a value of the wrong type.
+    #[display("policy: {cause}; correct the field, or leave it out for its default")]
     Unreadable {
-        /// Why.
+        /// The error of the parser.
         cause: String,
     },
     /// A value is out of its range.
-    #[display("policy: {field} is {value}; give {least} to {most}")]
+    #[display("policy: {field} is {value}; give {min} to {max}")]
     OutOfRange {
-        /// The field.
+        /// Path of the field, such as `needs.window_ms`.
         field: &'static str,
-        /// What it is.
+        /// The value in the file.
         value: f64,
-        /// The smallest that is taken.
-        least: f64,
-        /// The largest that is taken.
-        most: f64,
+        /// The smallest accepted value.
+        min: f64,
+        /// The largest accepted value.
+        max: f64,
     },
 }
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -13,13 +13,13 @@
 use crate::jobs::{Ending, Job, JobId, JobSpec, JobState, TaskId};
 use crate::model::{InstanceName, PoolName};
 
-/// All that must survive: the configuration, the jobs, the workers that are known
-/// and the waves. The same on every control instance after the same commands.
+/// The replicated state: the configuration, the jobs, the known workers and the waves. It is
+/// the same on every control instance after the same commands.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
     configuration: Option<Arc<Configuration>>,
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs of which something may still start or run.
+    /// Jobs of which a task may still start or run.
     active: BTreeSet<JobId>,
     #[serde(skip)]
     runs: RunsByWorker,
@@ -29,50 +29,51 @@
     waves: BTreeMap<u64, Wave>,
     parts: ConfigurationParts,
     history: History,
-    /// The start of the process that leads, and since when, in milliseconds since 1970.
+    /// [`Command::start`] of the leader whose command was applied last, and the time of its
+    /// first command, in milliseconds since 1970.
     led_by: u64,
     led_since_unix_ms: u64,
 }
 
 impl State {
-    /// Carries out a command.
+    /// Applies a committed command.
     pub fn apply(&mut self, command: &Command) {
         if self.led_by != command.start {
             self.led_by = command.start;
             self.led_since_unix_ms = command.at_unix_ms;
         }
         for change in &command.changes {
-            self.change(command.at_unix_ms, change);
+            self.apply_change(command.at_unix_ms, change);
         }
     }
 
-    /// The configuration in force; none before the first.
+    /// Returns the configuration in force, `None` before the first one.
     pub fn configuration(&self) -> Option<&Configuration> {
         self.configuration.as_deref()
     }
 
-    /// The queues of the configuration in force, by their names.
+    /// Returns the queues of the configuration in force by name.
     pub fn queues_by_name(&self) -> BTreeMap<&str, &Queue> {
         self.configuration()
             .map_or_else(BTreeMap::new, Configuration::queues_by_name)
     }
 
-    /// A job, while it is remembered.
+    /// Returns a job, `None` if it is unknown or was forgotten.
     pub fn job(&self, id: JobId) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// The jobs of which something may still start or run.
+    /// Returns the jobs of which a task may still start or run.
     pub fn active(&self) -> impl Iterator<Item = &Job> {
         self.active.iter().filter_map(|id| self.jobs.get(id))
     }
 
-    /// How many jobs those are.
+    /// Returns the number of active jobs.
     pub fn active_count(&self) -> usize {
         self.active.len()
     }
 
-    /// The names of up to `most` of these jobs that come after one in their order.
+    /// Returns the next `most` active jobs in the order of their ids, starting after `after`.
     pub fn active_after(
         &self,
         after: Option<JobId>,
@@ -83,7 +84,7 @@
         rest.take(most).copied()
     }
 
-    /// How many accepted jobs of a queue that runs them at once have not started.
+    /// Returns how many accepted, non-recurring jobs of a queue have not started.
     pub fn pending(&self, queue: &str) -> usize {
         self.active()
             .filter(|job| job.queue == queue && job.spec.recurrence.is_none())
@@ -91,22 +92,22 @@
             .count()
     }
 
-    /// The workers by their incarnations.
+    /// Returns the known workers by incarnation.
     pub fn workers(&self) -> &BTreeMap<InstanceName, Worker> {
         &self.workers
     }
 
-    /// A worker, while its incarnation is not over.
+    /// Returns a worker, `None` once its incarnation is gone.
     pub fn worker(&self, name: &InstanceName) -> Option<&Worker> {
         self.workers.get(name)
     }
 
-    /// The workers that take orders at an address.
+    /// Returns the workers that take orders at an address.
     pub fn workers_at(&self, address: SocketAddr) -> impl Iterator<Item = &InstanceName> {
         self.addresses.at(address)
     }
 
-    /// Whether a report says nothing that is not in here already.
+    /// Returns whether a report adds nothing to the known state of its worker.
     pub fn knows(&self, report: &Report) -> bool {
         let known = self.worker(&report.worker).map(|w| &w.report);
         known.is_some_and(|known| {
@@ -118,25 +119,25 @@
         })
     }
 
-    /// The waves by their numbers.
+    /// Returns the maintenance waves by number.
     pub fn waves(&self) -> &BTreeMap<u64, Wave> {
         &self.waves
     }
 
-    /// Sums over past jobs and runs.
+    /// Returns the statistics of past jobs and runs.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// The bytes of a snapshot.
+    /// Encodes the state as a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         crate::codec::encode(self)
     }
 
-    /// The state in a snapshot.
+    /// Decodes a snapshot and rebuilds the indexes that it does not hold.
     ///
     /// # Errors
-    /// The bytes are no snapshot.
+    /// Returns an error if the bytes are not a valid snapshot.
     pub fn decode(bytes: &[u8]) -> Result<Self, CodecError> {
         let mut state: Self = crate::codec::decode_state(bytes)?;
         state.runs = RunsByWorker::of(state.active());
@@ -144,7 +145,7 @@
         Ok(state)
     }
 
-    fn change(&mut self, at_unix_ms: u64, change: &Change) {
+    fn apply_change(&mut self, at_unix_ms: u64, change: &Change) {
         match change {
             Change::Configure(configuration) => self.configure(configuration),
             Change::ConfigurePart(part) => {
@@ -154,19 +155,19 @@
             }
             Change::Accept { job, queue, spec } => self.accept(at_unix_ms, *job, queue, spec),
             Change::Cancel { job } => {
-                self.with_job(at_unix_ms, *job, |job| {
+                self.update_job(at_unix_ms, *job, |job| {
                     job.verdict.get_or_insert(JobState::Cancelled);
                 });
             }
             Change::Due { job, occurrence } => {
-                self.with_job(at_unix_ms, *job, |job| job.make_due(*occurrence));
+                self.update_job(at_unix_ms, *job, |job| job.make_due(*occurrence));
             }
             Change::Place {
                 task,
                 attempt,
                 worker,
             } => {
-                let placed = self.with_job(at_unix_ms, task.job, |job| {
+                let placed = self.update_job(at_unix_ms, task.job, |job| {
                     job.place(at_unix_ms, *task, *attempt, worker)
                 });
                 if placed == Some(true) {
@@ -178,7 +179,7 @@
                 attempt,
                 worker,
             } => {
-                let unplaced = self.with_job(at_unix_ms, task.job, |job| {
+                let unplaced = self.update_job(at_unix_ms, task.job, |job| {
                     job.unplace(*task, *attempt, worker)
                 });
                 if unplaced == Some(true) {
@@ -192,15 +193,15 @@
                 ending,
                 checkpoint,
             } => {
-                self.note_end(at_unix_ms, *task, *attempt, *ending);
-                let ended = self.with_job(at_unix_ms, task.job, |job| {
+                self.record_run_time(at_unix_ms, *task, *attempt, *ending);
+                let ended = self.update_job(at_unix_ms, task.job, |job| {
                     job.end(*task, *attempt, worker, *ending, checkpoint)
                 });
                 if ended == Some(true) {
                     self.runs.remove(worker, task.job);
                 }
             }
-            Change::Report(report) => self.report(report),
+            Change::Report(report) => self.record_report(report),
             Change::Leave { worker } => {
                 if let Some(worker) = self.workers.get_mut(worker) {
                     worker.leaving = true;
@@ -246,11 +247,11 @@
     }
 
     fn configure(&mut self, configuration: &Arc<Configuration>) {
-        let held = self.configuration.as_ref().map(|c| c.version);
-        if held.is_some_and(|held| configuration.version <= held) {
+        let current_version = self.configuration.as_ref().map(|c| c.version);
+        if current_version.is_some_and(|current| configuration.version <= current) {
             return;
         }
-        // Jobs that wait follow their queue to another pool.
+        // Active jobs follow their queue if it moves to another pool.
         for id in &self.active {
             if let Some(job) = self.jobs.get_mut(id)
                 && let Some(queue) = configuration.queue(&job.queue)
@@ -289,12 +290,12 @@
         self.active.insert(id);
     }
 
-    /// Learns how long a task takes from a run that did all of it.
+    /// Records the run time of a task that a single run completed without a checkpoint.
     ///
-    /// A run that an earlier leader placed teaches nothing: its end was listed only when
-    /// there was a leader again. With those, run times seemed five times as long after a
-    /// change of leader, and all pools seemed to need every machine.
-    fn note_end(&mut self, at_unix_ms: u64, id: TaskId, attempt: u32, ending: Ending) {
+    /// Runs that an earlier leader placed are left out: their end was reported only once there
+    /// was a leader again. With them, run times seemed five times as long after a change of
+    /// leader, and every pool seemed to need all machines.
+    fn record_run_time(&mut self, at_unix_ms: u64, id: TaskId, attempt: u32, ending: Ending) {
         let Some(job) = self.jobs.get(&id.job).filter(|_| ending == Ending::Done) else {
             return;
         };
@@ -306,7 +307,7 @@
         }
     }
 
-    fn report(&mut self, report: &Arc<Report>) {
+    fn record_report(&mut self, report: &Arc<Report>) {
         let worker = Worker {
             report: Report::clone(report),
             leaving: false,
@@ -325,12 +326,13 @@
 
     fn lapse(&mut self, at_unix_ms: u64, worker: &InstanceName) {
         for id in self.runs.take(worker) {
-            self.with_job(at_unix_ms, id, |job| job.lapse(worker));
+            self.update_job(at_unix_ms, id, |job| job.lapse(worker));
         }
     }
 
-    /// What came of a change to a job; none if it is not remembered.
-    fn with_job<T>(
+    /// Changes a job and updates the active set. Returns the result of `change`, `None` if the
+    /// job is unknown.
+    fn update_job<T>(
         &mut self,
         at_unix_ms: u64,
         id: JobId,
--- a/src/control/wall_clock.rs
+++ b/src/control/wall_clock.rs
@@ -3,8 +3,8 @@
 
 use crate::unix_time::unix_ms;
 
-/// The machine's time of day with an offset, which trials set to let one instance's
-/// time of day jump; clones share it.
+/// The system's time of day plus an offset, which tests of whole clusters set to make the
+/// time of one instance jump. Clones share the offset.
 #[derive(Clone, Debug, Default)]
 pub struct WallClock {
     offset_ms: Arc<AtomicI64>,
@@ -16,7 +16,7 @@
         self.offset_ms.store(offset_ms, Ordering::Relaxed);
     }
 
-    /// The time of day, in milliseconds since 1970.
+    /// Returns the time of day with the offset, in milliseconds since 1970.
     pub fn unix_ms(&self) -> u64 {
         unix_ms().saturating_add_signed(self.offset_ms.load(Ordering::Relaxed))
     }
