--- a/tests/control/capacity.rs
+++ b/tests/control/capacity.rs
@@ -1,9 +1,9 @@
-//! Machines that move between pools.
+//! Moves of machines between pools.
 
 use crate::world::{World, job, lasting, step};
 
-/// Demand that goes round: one pool gets several times what its machines can do while
-/// the other has nothing. Machines come over, and go back when the turn changes.
+/// Demand alternates: one pool gets several times the work that its machines can do while
+/// the other has none. Machines must move over, and back when the demand changes.
 #[test]
 fn machines_follow_demand_from_pool_to_pool() {
     let mut world = World::new(41, 8, 8);
@@ -13,12 +13,12 @@
         world.submit(1, "quick", id, job(vec![step(48)]));
         world.run_ms(50);
     }
-    let came = world
+    let to_east = world
         .moves
         .iter()
         .filter(|(_, _, pool)| pool == "east")
         .count();
-    assert!(came >= 5, "{:?}", world.moves);
+    assert!(to_east >= 5, "{:?}", world.moves);
     world.run_ms(5_000);
     let before = world.moves.len();
     for _ in 0..60 {
@@ -26,16 +26,16 @@
         world.submit(1, "long", id, job(vec![step(48)]));
         world.run_ms(50);
     }
-    let back = world.moves[before..]
+    let to_west = world.moves[before..]
         .iter()
         .filter(|(_, _, pool)| pool == "west")
         .count();
-    assert!(back >= 5, "{:?}", world.moves);
+    assert!(to_west >= 5, "{:?}", world.moves);
 }
 
-/// Even, light load moves nothing: a move costs its machine a second and a half.
+/// Steady, light load must not move machines: each move costs a machine a second and a half.
 #[test]
-fn even_load_moves_nothing() {
+fn steady_light_load_moves_no_machine() {
     let mut world = World::new(42, 6, 6);
     let before = world.moves.len();
     for id in 0..80 {
@@ -46,19 +46,19 @@
     assert_eq!(world.moves.len(), before, "{:?}", world.moves);
 }
 
-/// A machine with a lasting task stays: its move would end it.
+/// A machine with a lasting task must stay, because a move would end the task.
 #[test]
 fn machines_with_lasting_tasks_stay() {
     let mut world = World::new(43, 6, 6);
     world.submit(1, "long", 1, lasting(5));
     world.run_ms(1_500);
-    let ports: Vec<String> = world
+    let lasting_machines: Vec<String> = world
         .workers
         .values()
         .filter(|w| w.pool == "west" && !w.going.is_empty())
         .map(|w| w.machine.clone())
         .collect();
-    assert_eq!(ports.len(), 5);
+    assert_eq!(lasting_machines.len(), 5);
     for id in 0..60 {
         world.submit(1, "quick", 100 + id, job(vec![step(16)]));
         world.run_ms(50);
@@ -67,6 +67,6 @@
         world
             .moves
             .iter()
-            .all(|(_, machine, _)| !ports.contains(machine))
+            .all(|(_, machine, _)| !lasting_machines.contains(machine))
     );
 }
--- a/tests/control/forecast.rs
+++ b/tests/control/forecast.rs
@@ -1,4 +1,4 @@
-//! What is about to be asked of each pool: rates of arrivals, how they rise, and turns.
+//! Forecast of each pool's load from arrival rates, their rise and the pools' turns.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,8 +26,9 @@
     Job::new(JobId::from(1), pool.into(), pool.into(), spec, 3, 0)
 }
 
-/// Turns of 4 s, one pool after the other, with a few jobs of the others in between.
-fn turns(from_ms: u64, to_ms: u64, mut at: impl FnMut(u64, &str)) {
+/// Calls `at` for each job of a schedule with turns of 4 s, one pool after the other, and a
+/// few jobs of all pools in between.
+fn replay_turns(from_ms: u64, to_ms: u64, mut at: impl FnMut(u64, &str)) {
     for now_ms in (from_ms..to_ms).step_by(50) {
         let turn = (now_ms / 4_000) as usize % 3;
         if now_ms % 2_000 == 0 {
@@ -37,16 +38,16 @@
     }
 }
 
-/// Three pools have their turns every 4 s, one after the other. After a round the next
-/// is foreseen before it begins, with what a turn usually asks for.
+/// Three pools have turns of 4 s, one after the other. After one round each turn must be
+/// forecast before it begins, with the usual peak.
 #[test]
-fn even_turns_are_foreseen() {
+fn regular_turns_are_forecast() {
     let configuration = three_pools();
     let policy = TurnsPolicy::default();
     let mut history = History::default();
     let mut forecast = Forecast::default();
     let (mut right, mut foreseen) = (0, 0);
-    turns(100_000, 136_000, |now_ms, pool| {
+    replay_turns(100_000, 136_000, |now_ms, pool| {
         history.record_arrival(now_ms, &job_of(pool));
         let estimates = history.estimates().clone();
         forecast.tick(now_ms, &history, &estimates, &configuration);
@@ -64,15 +65,15 @@
     assert!(foreseen >= 4 && right == foreseen, "{right} of {foreseen}");
 }
 
-/// The leader changes between two turns. The next one has the same history and foresees
-/// the same: it must not begin to learn anew while callers come.
+/// The leader changes between two turns. The new leader has the same history and must make
+/// the same forecast, instead of learning anew under load.
 #[test]
-fn a_new_leader_foresees_what_the_old_one_did() {
+fn a_new_leader_makes_the_same_forecast() {
     let configuration = three_pools();
     let policy = TurnsPolicy::default();
     let mut history = History::default();
     let mut forecast = Forecast::default();
-    turns(100_000, 127_000, |now_ms, pool| {
+    replay_turns(100_000, 127_000, |now_ms, pool| {
         history.record_arrival(now_ms, &job_of(pool));
         forecast.tick(
             now_ms,
@@ -93,9 +94,9 @@
     );
 }
 
-/// Turns of any length at any time: none is foreseen that does not come.
+/// Turns of irregular length must not lead to a forecast.
 #[test]
-fn uneven_turns_are_not_foreseen() {
+fn irregular_turns_are_not_forecast() {
     let configuration = three_pools();
     let policy = TurnsPolicy::default();
     let mut history = History::default();
@@ -119,10 +120,10 @@
     }
 }
 
-/// Jobs come faster and faster; a machine that sets out now is there in two seconds. What
-/// is offered then is foretold at least in part, and never as more than a multiple.
+/// The arrival rate rises, and a machine that is ordered now arrives in two seconds. The
+/// load at that time must be extrapolated at least in part, and never beyond the limit.
 #[test]
-fn a_rise_is_carried_on_to_when_a_machine_comes() {
+fn a_rise_is_extrapolated_to_the_arrival_of_a_machine() {
     let configuration = three_pools();
     let mut history = History::default();
     let mut now_ms = 100_000;
@@ -156,11 +157,11 @@
     assert_eq!(offers["a"].rise, 0.0);
 }
 
-/// Tasks that ask for little processor and much memory: machines are counted by what is
-/// short. By cores alone a pool with lasting tasks of 8 GB each kept one machine, and some
-/// of them had nowhere to run for ten seconds.
+/// Tasks need few cores and much memory, so machines must be counted by the scarcest
+/// resource. Counted by cores alone, a pool with lasting tasks of 8 GB each kept one machine,
+/// and some of the tasks had nowhere to run for ten seconds.
 #[test]
-fn machines_are_counted_by_what_is_short() {
+fn machines_are_counted_by_the_scarcest_resource() {
     let size = Load {
         cores: 32.0,
         memory_mb: 64_000.0,
@@ -181,9 +182,9 @@
     );
 }
 
-/// Only the number of jobs is kept by time: one huge job is no rush.
+/// Only the number of jobs is kept by time, so one huge job must not look like a surge.
 #[test]
-fn one_huge_job_is_no_rush() {
+fn one_huge_job_does_not_look_like_a_surge() {
     let mut arrivals = rosemarygauge::control::Arrivals::default();
     let size = |cores_ms| JobSize {
         work: Load::of_cores(cores_ms),
@@ -195,18 +196,18 @@
     arrivals.add(106_000, size(30_000.0));
     assert_eq!(arrivals.count(105_000, 106_000), 10);
     assert!(arrivals.mean().work.cores < 2_100.0, "{arrivals:?}");
-    // A clock that goes back loses nothing and moves nothing.
+    // A clock that goes backwards neither loses nor moves counts.
     arrivals.add(90_000, size(1_000.0));
     assert_eq!(arrivals.count(105_000, 106_000), 11);
-    // One that jumps by hours forgets.
+    // A clock that jumps forward by hours drops the old counts.
     arrivals.add(9_000_000, size(1_000.0));
     assert_eq!(arrivals.count(0, 9_000_000), 1);
 }
 
-/// A run that an earlier leader placed ends while there is none, and is listed seconds
-/// later: its time would teach that everything takes five times as long.
+/// A run that an earlier leader placed ends while there is no leader, and is reported seconds
+/// later. Learnt as a run time, it would make all tasks seem to take five times as long.
 #[test]
-fn a_run_of_an_earlier_leader_teaches_nothing() {
+fn run_times_are_not_learnt_from_runs_of_an_earlier_leader() {
     let mut state = State::default();
     let task = TaskId {
         job: JobId::from(1),
@@ -251,7 +252,7 @@
     assert!(apply(8, 5_620, end(other)) > 1.0);
 }
 
-/// Loads of each kind, as plain arithmetic.
+/// Arithmetic of loads.
 #[test]
 fn loads_add_up() {
     let one = Load {
--- a/tests/control/overload.rs
+++ b/tests/control/overload.rs
@@ -1,4 +1,4 @@
-//! A leader with little processor time and much to do.
+//! A leader with limited processor time under high load.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,55 +9,57 @@
 
 use crate::world::{LOOK_US, World, configuration, job, name, queue, step};
 
-/// How late answers come at most: a third of these are not waited for any more.
-const LATE_MS: u64 = 600;
-/// Tasks of a step.
-const TASKS: u16 = 8;
-/// From the return of the instances on, until callers are served as before.
+/// Longest delay of a worker's answers; a third of them come after the order's timeout.
+const ANSWER_DELAY_MS: u64 = 600;
+/// Tasks per step.
+const TASKS_PER_STEP: u16 = 8;
+/// Time from the return of the instances until jobs must be served again.
 const RECOVERY_MS: u64 = 15_000;
-/// The part of the requests that has to be served then.
-const SERVED_PART: f64 = 0.25;
-/// The part of the runs that a backlog ten times as large may not take.
-const GOODPUT_PART: f64 = 0.8;
-
-/// Jobs of a backlog and workers of a pool, at the site that the costs are from.
-const JOBS: usize = 2_000;
-const WORKERS: u16 = 180;
-/// What callers hand in.
+/// Fraction of the jobs that must be served in time after the recovery.
+const MIN_SERVED_FRACTION: f64 = 0.25;
+/// Fraction of the goodput that must remain with a backlog ten times as large.
+const MIN_GOODPUT_FRACTION: f64 = 0.8;
+
+/// Jobs of a backlog and workers of a pool, at the site from which the costs are taken.
+const BACKLOG_JOBS: usize = 2_000;
+const WORKERS_PER_POOL: u16 = 180;
+/// Rate at which callers submit jobs.
 const JOBS_PER_S: u64 = 50;
-/// How often the needs of pools may be looked at, one thing a job.
-const NEEDS_PER_S: u64 = 10;
-/// How long looks are counted.
-const LOOKS_MS: u64 = 2_000;
+/// Most scans of the pools' needs per second; each visits every job once.
+const NEED_SCANS_PER_S: u64 = 10;
+/// Time over which visits are counted.
+const MEASURE_MS: u64 = 2_000;
 
-/// A job that a caller handed in.
-struct Handed {
+/// A job that a caller submitted.
+struct Submission {
     at_ms: u64,
     call: u64,
-    /// When it was seen done.
+    /// Time at which it was found completed.
     done_ms: Option<u64>,
 }
 
 /// A site with its callers.
 struct Site {
     world: World,
-    /// How long a task runs.
+    /// Run time of a task.
     run_ms: u64,
-    jobs: BTreeMap<u64, Handed>,
+    jobs: BTreeMap<u64, Submission>,
     next: u64,
 }
 
 impl Site {
-    /// Two pools, in each of which a third of the workers answers up to [`LATE_MS`] late.
+    /// Creates two pools, in each of which a third of the workers answers up to [`ANSWER_DELAY_MS`]
+    /// late.
     ///
-    /// A test may play a part of the site: then a look costs as many times more.
+    /// With `parts` above 1 the site is that many times smaller, and a visit costs as many
+    /// times more.
     fn new(seed: u64, run_ms: u64, parts: u16) -> Self {
-        let workers = WORKERS / parts;
+        let workers = WORKERS_PER_POOL / parts;
         let look_us = LOOK_US * u64::from(parts);
         let mut world = World::limited(seed, workers, workers, look_us);
         for (index, worker) in world.workers.values_mut().enumerate() {
             worker.run_ms = run_ms;
-            worker.answer_late_ms = if index % 3 == 0 { LATE_MS } else { 0 };
+            worker.answer_late_ms = if index % 3 == 0 { ANSWER_DELAY_MS } else { 0 };
         }
         Self {
             world,
@@ -67,25 +69,25 @@
         }
     }
 
-    fn hand_in(&mut self) {
+    fn submit_job(&mut self) {
         let id = self.next;
         self.next += 1;
         let place = 1 + id as usize % 3;
         let call = self
             .world
             .submit(place, queue_of(id), id, spec_of(id, self.run_ms));
-        let handed = Handed {
+        let submission = Submission {
             at_ms: self.world.now_ms,
             call,
             done_ms: None,
         };
-        self.jobs.insert(id, handed);
+        self.jobs.insert(id, submission);
     }
 
-    /// Hands in many jobs within a moment.
-    fn hand_in_many(&mut self, jobs: usize) {
+    /// Submits many jobs in a short time.
+    fn submit_jobs(&mut self, jobs: usize) {
         for index in 0..jobs {
-            self.hand_in();
+            self.submit_job();
             if index % 10 == 0 {
                 self.world.run_ms(5);
             }
@@ -93,8 +95,8 @@
         self.run_ms(300, 0);
     }
 
-    /// Kills the leader and another instance, so that nobody leads.
-    fn stop_two(&mut self) -> (EntryName, EntryName) {
+    /// Kills the leader and another instance, so that no leader can be elected.
+    fn kill_two(&mut self) -> (EntryName, EntryName) {
         let leader = self.world.leader().unwrap();
         let other = (1..=3).map(name).find(|n| *n != leader).unwrap();
         self.world.kill(&leader);
@@ -102,19 +104,19 @@
         (leader, other)
     }
 
-    /// Runs on with so many jobs open at any time.
+    /// Runs for a time with `backlog` jobs open throughout.
     fn hold_backlog(&mut self, backlog: usize, for_ms: u64) {
         let end_ms = self.world.now_ms + for_ms;
         while self.world.now_ms < end_ms {
             let open = self.jobs.values().filter(|h| h.done_ms.is_none());
             let lacking = backlog.saturating_sub(open.count());
-            (0..lacking.min(20)).for_each(|_| self.hand_in());
+            (0..lacking.min(20)).for_each(|_| self.submit_job());
             self.run_ms(20, 0);
         }
     }
 
-    /// Waits until all accepted jobs are done; whether they are.
-    fn until_done(&mut self, seconds: u64) -> bool {
+    /// Waits up to some seconds until all accepted jobs are completed; returns whether they are.
+    fn run_until_done(&mut self, seconds: u64) -> bool {
         for _ in 0..seconds {
             if self.open() == 0 {
                 return true;
@@ -124,7 +126,7 @@
         self.open() == 0
     }
 
-    /// Runs on while jobs come at a rate.
+    /// Runs for a time while jobs are submitted at a rate.
     fn run_ms(&mut self, for_ms: u64, jobs_per_s: u64) {
         let every_ms = 1_000_u64.checked_div(jobs_per_s).unwrap_or(u64::MAX);
         let end_ms = self.world.now_ms + for_ms;
@@ -132,58 +134,58 @@
         while self.world.now_ms < end_ms {
             if self.world.now_ms >= next_ms && jobs_per_s > 0 {
                 next_ms += every_ms;
-                self.hand_in();
+                self.submit_job();
             }
             self.world.run_ms(5);
             if self.world.now_ms.is_multiple_of(20) {
-                self.look();
+                self.record_completions();
             }
         }
     }
 
-    /// Notes which jobs are done.
-    fn look(&mut self) {
+    /// Records which jobs are completed.
+    fn record_completions(&mut self) {
         let Some(leader) = self.world.leader() else {
             return;
         };
         let state = self.world.state(&leader);
-        for (id, handed) in self.jobs.iter_mut().filter(|(_, h)| h.done_ms.is_none()) {
+        for (id, submission) in self.jobs.iter_mut().filter(|(_, h)| h.done_ms.is_none()) {
             let verdict = state.job(JobId::from(*id)).and_then(|job| job.verdict);
             if verdict == Some(JobState::Completed) {
-                handed.done_ms = Some(self.world.now_ms);
+                submission.done_ms = Some(self.world.now_ms);
             }
         }
     }
 
-    fn is_accepted(&self, handed: &Handed) -> bool {
-        self.world.answers.get(&handed.call) == Some(&Answer::Done)
+    fn is_accepted(&self, submission: &Submission) -> bool {
+        self.world.answers.get(&submission.call) == Some(&Answer::Done)
     }
 
-    /// Accepted jobs that are not done.
+    /// Returns the number of accepted jobs that are not completed.
     fn open(&self) -> usize {
         let jobs = self.jobs.values();
         jobs.filter(|h| h.done_ms.is_none() && self.is_accepted(h))
             .count()
     }
 
-    /// The part of the jobs handed in since then that were done in time.
+    /// Returns the fraction of the jobs submitted since `since_ms` that completed in time.
     fn served_since(&self, since_ms: u64) -> f64 {
         let jobs = self.jobs.iter().filter(|(_, h)| h.at_ms >= since_ms);
         let (mut all, mut served) = (0, 0);
-        for (id, handed) in jobs {
+        for (id, submission) in jobs {
             let chain_ms = u64::from(steps_of(*id)) * self.run_ms;
             let within_ms = queue("any", "any").objective_ms(chain_ms);
-            let took_ms = handed.done_ms.map(|at| at - handed.at_ms);
+            let took_ms = submission.done_ms.map(|at| at - submission.at_ms);
             all += 1;
             served += u32::from(took_ms.is_some_and(|took| took as f64 <= within_ms));
         }
         f64::from(served) / f64::from(all)
     }
 
-    /// What the leader was busy with, for whoever reads a failure.
-    fn business(&self) -> String {
+    /// Describes the leader's processor use, for failure messages.
+    fn processor_use(&self) -> String {
         let Some(leader) = self.world.leader() else {
-            return "nobody leads".to_owned();
+            return "no leader".to_owned();
         };
         let processor = self.world.processor(&leader);
         format!(
@@ -204,12 +206,12 @@
     }
 }
 
-/// One to three steps, one after the other.
+/// Returns a job of one to three steps in sequence.
 fn spec_of(id: u64, run_ms: u64) -> JobSpec {
     let steps = (0..steps_of(id)).map(|k| Step {
         after: k.checked_sub(1).into_iter().collect(),
         estimate_ms: run_ms,
-        ..step(TASKS)
+        ..step(TASKS_PER_STEP)
     });
     job(steps.collect())
 }
@@ -218,87 +220,92 @@
     1 + (id / 2 % 3) as u16
 }
 
-/// After a cut the site is whole again, callers wait for answers and none comes in time.
-/// A new leader begins with many accepted jobs, most beyond their time. When each tick ranked
-/// all of them anew it took so long that workers' answers waited behind it; starts stayed on
-/// their way, workers idled, and the backlog that made ticks long stayed too. With looks that
-/// cost nothing the same site recovers, so it is their number that did it.
+/// After an outage no caller gets an answer in time although the site is healthy again. A new
+/// leader starts with many accepted jobs, most of them overdue. When each tick ranked all of
+/// them anew, ticks took so long that workers' answers waited behind them: starts stayed in
+/// flight, workers idled, and the backlog that made ticks long did not shrink. If visits cost
+/// nothing the same site recovers, so their number is the cause.
 #[test]
 fn a_new_leader_with_a_backlog_serves_new_jobs_again() {
     let mut site = Site::new(1, 1_000, 3);
-    site.hand_in_many(JOBS / 3);
-    let (one, other) = site.stop_two();
+    site.submit_jobs(BACKLOG_JOBS / 3);
+    let (leader, other) = site.kill_two();
     site.run_ms(6_000, 0);
-    site.world.restart(&one);
+    site.world.restart(&leader);
     site.world.restart(&other);
     let back_ms = site.world.now_ms;
     site.run_ms(RECOVERY_MS + 5_000, JOBS_PER_S);
-    let business = site.business();
+    let processor_use = site.processor_use();
     site.run_ms(6_000, 0);
     let served = site.served_since(back_ms + RECOVERY_MS);
-    let done = site.until_done(40);
+    let done = site.run_until_done(40);
     assert!(
         done,
-        "{} accepted jobs are not done: {business}",
+        "{} accepted jobs are not done: {processor_use}",
         site.open()
     );
     assert!(
-        served >= SERVED_PART,
-        "{served:.2} of the new jobs are served in time: {business}"
+        served >= MIN_SERVED_FRACTION,
+        "{served:.2} of the new jobs are served in time: {processor_use}"
     );
 }
 
-/// Callers hand in as much as ever, and less of it is done the more waits already. Where a
-/// tick looks at every job that waits, answers of workers wait behind it: the window of
-/// starts on their way turns over more slowly, so the backlog takes from the work itself.
+/// Goodput falls as the backlog grows, although callers submit the same rate. If a tick visits
+/// every waiting job, workers' answers wait behind it, and the window of starts in flight
+/// turns over more slowly.
 #[test]
 fn goodput_does_not_fall_with_the_backlog() {
-    let [(few, _), (many, business)] = [JOBS / 10, JOBS].map(|backlog| {
+    let [(few, _), (many, processor_use)] = [BACKLOG_JOBS / 10, BACKLOG_JOBS].map(|backlog| {
         let mut site = Site::new(2, 300, 1);
         site.hold_backlog(backlog, 3_000);
         let before = site.world.done;
         site.hold_backlog(backlog, 4_000);
-        (site.world.done - before, site.business())
+        (site.world.done - before, site.processor_use())
     });
     let part = many as f64 / few as f64;
     assert!(
-        part >= GOODPUT_PART,
-        "{many} runs end with {JOBS} jobs, {few} with a tenth of them: {business}"
+        part >= MIN_GOODPUT_FRACTION,
+        "{many} runs end with {BACKLOG_JOBS} jobs, {few} with a tenth of them: {processor_use}"
     );
 }
 
-/// A full pool with a long row of jobs makes the whole site slow. Nothing of them can start
-/// before something there ends, yet each tick in which anything happened elsewhere ranked
-/// them all and searched room for each.
+/// A full pool with a long queue slows the whole site. None of its jobs can start before a run
+/// there ends, yet each tick in which anything happened elsewhere ranked all of them and
+/// searched room for each.
 #[test]
-fn what_a_tick_looks_at_does_not_grow_with_jobs_that_cannot_start() {
-    let [few, many] = [400, 4_000].map(looks_beside_a_full_pool);
-    let needs = (4_000 - 400) * NEEDS_PER_S * LOOKS_MS / 1_000;
+fn tick_costs_do_not_grow_with_jobs_that_cannot_start() {
+    let [few, many] = [400, 4_000].map(visits_beside_a_full_pool);
+    let needs = (4_000 - 400) * NEED_SCANS_PER_S * MEASURE_MS / 1_000;
     assert!(
         many <= 2 * few + needs,
-        "{many} looks with 4000 jobs, {few} with 400, {needs} allowed for needs"
+        "{many} visits with 4000 jobs, {few} with 400, {needs} allowed for scans of needs"
     );
 }
 
-/// The needs of pools are looked at ten times a second, and each look comes to every job. With
-/// enough of them these looks alone take the leader's time, and the backlog stays.
+/// The needs of pools are computed ten times a second, and each time visits every job. With
+/// enough jobs these scans alone use up the leader's processor time, and the backlog stays.
 #[test]
-fn looks_at_what_pools_need_take_a_bounded_part_of_the_time() {
-    let [few, many] = [2_000, 10_000].map(looks_beside_a_full_pool);
+fn scans_of_pool_needs_take_a_bounded_part_of_the_time() {
+    let [few, many] = [2_000, 10_000].map(visits_beside_a_full_pool);
     assert!(
         many as f64 <= 1.5 * few as f64,
-        "{many} looks with 10000 jobs, {few} with 2000"
+        "{many} visits with 10000 jobs, {few} with 2000"
     );
 }
 
-/// So many jobs wait in a full pool while another works: what the leader looks at.
-fn looks_beside_a_full_pool(waiting: u64) -> u64 {
+/// Counts the leader's visits while `waiting` jobs wait in a full pool and another pool works.
+fn visits_beside_a_full_pool(waiting: u64) -> u64 {
     let mut world = World::without_moves(3, 4, 12);
     for port in 0..4 {
         world.worker(1_000 + port).run_ms = 100_000;
     }
     for id in 0..waiting {
-        world.submit(1 + id as usize % 3, "quick", 1 + id, job(vec![step(TASKS)]));
+        world.submit(
+            1 + id as usize % 3,
+            "quick",
+            1 + id,
+            job(vec![step(TASKS_PER_STEP)]),
+        );
         if id % 10 == 0 {
             world.run_ms(5);
         }
@@ -306,7 +313,7 @@
     world.run_ms(2_000);
     let leader = world.leader().unwrap();
     let before = world.looked(&leader);
-    for id in 0..LOOKS_MS / 50 {
+    for id in 0..MEASURE_MS / 50 {
         world.submit(1, "long", 10_000 + id, job(vec![step(4)]));
         world.run_ms(50);
     }
@@ -317,10 +324,10 @@
     world.looked(&leader) - before
 }
 
-/// A caller's job in a pool with free workers does not start for as long as another pool is
-/// busy. All pools share one window of starts on their way; where it is given out by priority
-/// the other pool's jobs take all of it each time. With equal priorities, or a window of
-/// 4,000, the job starts at once.
+/// A job in a pool with free workers does not start while another pool is busy. All pools
+/// share one window of starts in flight; if it is assigned by priority alone, the jobs of the
+/// other pool take all of it each time. With equal priorities, or a window of 4,000, the job
+/// starts at once.
 #[test]
 fn a_pool_of_lower_priority_gets_starts_while_another_fills_the_window() {
     let mut world = World::without_moves(4, 160, 6);
@@ -330,16 +337,16 @@
     world.run_ms(500);
     assert_eq!(world.answers.get(&call), Some(&Answer::Done));
     for id in 0..3_000 {
-        world.submit(1, "quick", 1 + id, job(vec![step(TASKS)]));
+        world.submit(1, "quick", 1 + id, job(vec![step(TASKS_PER_STEP)]));
         if id % 10 == 0 {
             world.run_ms(5);
         }
     }
-    let handed_ms = world.now_ms;
+    let submitted_ms = world.now_ms;
     let before = world.runs.len();
     let low = JobId::from(10_000);
-    let mut its_own = world.workers.values().filter(|w| w.pool == "west");
-    assert!(its_own.all(|w| w.going.is_empty()), "its pool is free");
+    let mut west_workers = world.workers.values().filter(|w| w.pool == "west");
+    assert!(west_workers.all(|w| w.going.is_empty()), "its pool is free");
     world.submit(1, "long", 10_000, job(vec![step(1)]));
     world.run_ms(1_000);
     let leader = world.leader().unwrap();
@@ -349,16 +356,16 @@
     assert!(left > 0, "the other pool has run out of work");
     let first = world.runs.iter().find(|run| run.task.job == low);
     assert!(
-        first.is_some_and(|run| run.began_ms <= handed_ms + 1_000),
+        first.is_some_and(|run| run.began_ms <= submitted_ms + 1_000),
         "no start in a second, {others} in the other pool, where {left} jobs wait"
     );
 }
 
-/// Gangs for which a pool has no room at present cost the leader as much as if each of their
-/// tasks were placed and taken back, in each pass, over all workers: the site is slow for as
-/// long as they wait. A gang that does not fit has to cost no more than a task that does not.
+/// Waiting gangs for which a pool has no room slow the whole site: in each pass, the leader
+/// placed each of their tasks over all workers and took it back. A gang that does not fit must
+/// not cost more than a single task that does not fit.
 #[test]
-fn a_gang_that_finds_no_room_is_looked_at_once() {
+fn a_gang_without_room_costs_no_more_than_a_task_without_room() {
     let never = Step {
         label: Some("nowhere".into()),
         ..step(1)
@@ -367,15 +374,15 @@
         gang: true,
         ..step(65)
     };
-    let [few, many] = [never, gang].map(looks_beside_steps_that_wait);
+    let [few, many] = [never, gang].map(visits_beside_waiting_steps);
     assert!(
         many <= 2 * few,
-        "{many} looks with gangs, {few} with single tasks"
+        "{many} visits with gangs, {few} with single tasks"
     );
 }
 
-/// Steps for which an idle pool of 64 cores has no place wait: what the leader looks at.
-fn looks_beside_steps_that_wait(waiting: Step) -> u64 {
+/// Counts the leader's visits while steps wait for which an idle pool of 64 cores has no room.
+fn visits_beside_waiting_steps(waiting: Step) -> u64 {
     let mut world = World::without_moves(5, 4, 4);
     for id in 0..400 {
         world.submit(
@@ -391,26 +398,26 @@
     world.run_ms(1_000);
     let leader = world.leader().unwrap();
     let before = world.looked(&leader);
-    for id in 0..LOOKS_MS / 50 {
+    for id in 0..MEASURE_MS / 50 {
         world.submit(1, "long", 10_000 + id, job(vec![step(1)]));
         world.run_ms(50);
     }
     world.looked(&leader) - before
 }
 
-/// A caller takes back hundreds of jobs that run. The leader orders all their tasks to be
-/// stopped in one go, which holds up everything else for as long as it writes them; answers
-/// that come meanwhile are late, and the orders are given again.
+/// A caller cancels hundreds of running jobs. If the leader orders all their tasks to stop in
+/// one batch, it blocks everything else while it writes the orders; answers that arrive
+/// meanwhile are late, and the orders are sent again.
 #[test]
-fn a_mass_cancellation_holds_up_nobody() {
+fn a_mass_cancellation_is_sent_in_bounded_batches() {
     let mut site = Site::new(6, 60_000, 1);
     for worker in site.world.workers.values_mut() {
         worker.answer_late_ms = 0;
     }
-    let jobs = u64::from(WORKERS) * 2 * 16 / u64::from(TASKS);
+    let jobs = u64::from(WORKERS_PER_POOL) * 2 * 16 / u64::from(TASKS_PER_STEP);
     let spec = job(vec![Step {
         estimate_ms: 60_000,
-        ..step(TASKS)
+        ..step(TASKS_PER_STEP)
     }]);
     for id in 1..=jobs {
         site.world
@@ -429,29 +436,33 @@
         site.world.cancel(1 + id as usize % 3, queue_of(id), id);
     }
     let mut most = 0;
-    let mut over_ms = None;
+    let mut stopped_after_ms = None;
     for elapsed_ms in (0..8_000).step_by(5) {
         let before = site.world.ordered_by(&leader);
         site.world.run_ms(5);
         most = most.max(site.world.ordered_by(&leader) - before);
-        if over_ms.is_none() && going(&site) == 0 {
-            over_ms = Some(elapsed_ms);
+        if stopped_after_ms.is_none() && going(&site) == 0 {
+            stopped_after_ms = Some(elapsed_ms);
         }
     }
     let unanswered = site.world.processor(&leader).unanswered - unanswered;
-    assert_eq!(site.world.leader(), Some(leader), "it leads on");
-    assert!(over_ms.is_some(), "{} tasks go on", going(&site));
+    assert_eq!(site.world.leader(), Some(leader), "the leader changed");
+    assert!(
+        stopped_after_ms.is_some(),
+        "{} tasks still run",
+        going(&site)
+    );
     assert!(
         most <= 600,
-        "{most} orders in one go, {unanswered} unanswered"
+        "{most} orders in one batch, {unanswered} unanswered"
     );
 }
 
-/// A job that is first by its rank waits behind hundreds that are not: which steps the advisor
-/// is asked about, a few at once, went by the names of their jobs. While more come than it can
-/// answer, some names never have their turn.
+/// The job with the first rank waits behind hundreds of others: the advisor is asked about a
+/// few steps at once, and they were selected by the ids of their jobs. While more jobs arrive
+/// than it can answer, it was never asked about some of them.
 #[test]
-fn the_advisor_is_asked_about_what_comes_first() {
+fn the_advisor_is_asked_about_steps_by_rank() {
     let mut world = World::without_moves(8, 40, 4);
     let mut changed = configuration(2);
     changed.queues[0].advice = Some(Advice {
@@ -465,7 +476,7 @@
     for id in 0..600 {
         world.submit(1 + id as usize % 3, "quick", 1 + id, job(vec![step(2)]));
     }
-    let handed_ms = world.now_ms;
+    let submitted_ms = world.now_ms;
     let last = 10_000;
     let small = Step {
         estimate_ms: 10,
@@ -477,14 +488,14 @@
         .runs
         .iter()
         .find(|run| run.task.job == JobId::from(last));
-    let after_ms = first.map(|run| run.began_ms - handed_ms);
+    let after_ms = first.map(|run| run.began_ms - submitted_ms);
     let others = world
         .runs
         .iter()
-        .filter(|run| run.began_ms <= handed_ms + after_ms.unwrap_or(0))
+        .filter(|run| run.began_ms <= submitted_ms + after_ms.unwrap_or(0))
         .count();
     assert!(
         after_ms.is_some_and(|after_ms| after_ms <= 500),
-        "it starts after {after_ms:?} ms, {others} of the others before"
+        "the job starts after {after_ms:?} ms, {others} others before it"
     );
 }
--- a/tests/control/policy.rs
+++ b/tests/control/policy.rs
@@ -1,9 +1,9 @@
-//! Policies as operators write them.
+//! Parsing and validation of operators' policy files.
 
 use rosemarygauge::control::{Policy, PolicyFault};
 
 #[test]
-fn the_defaults_are_right_and_an_empty_file_means_them() {
+fn defaults_are_valid_and_an_empty_file_means_them() {
     assert!(Policy::default().faults().is_empty());
     assert_eq!(Policy::parse("{}").unwrap(), Policy::default());
     let written = serde_json::to_string(&Policy::default()).unwrap();
@@ -11,18 +11,18 @@
 }
 
 #[test]
-fn what_is_named_differs_and_the_rest_stays() {
+fn named_fields_override_the_defaults() {
     let policy = Policy::parse("{\"moves\": {\"stay_ms\": 700}}").unwrap();
     assert_eq!(policy.moves.stay_ms, 700);
     assert_eq!(policy.needs, Policy::default().needs);
 }
 
-/// An operator's slip: every value that cannot be meant is named at once, with the range
-/// to keep to, and a name that there is not is no value that stays unnoticed.
+/// An operator makes mistakes in the file. All values out of range must be reported at once,
+/// each with its range, and an unknown field must be refused instead of ignored.
 #[test]
-fn odd_values_are_refused_with_field_and_remedy() {
-    let odd = "{\"needs\": {\"window_ms\": 0}, \"order\": {\"large_part\": 60}}";
-    let faults = Policy::parse(odd).unwrap_err();
+fn invalid_values_are_refused_with_field_and_remedy() {
+    let invalid = "{\"needs\": {\"window_ms\": 0}, \"order\": {\"large_part\": 60}}";
+    let faults = Policy::parse(invalid).unwrap_err();
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     assert_eq!(
         lines,
--- a/tests/control/random.rs
+++ b/tests/control/random.rs
@@ -1,5 +1,6 @@
-//! Seeded days of mixed faults. At every start the world checks that no task runs
-//! twice and none of a cancelled job starts; in the end every job must be done.
+//! Random scenarios of mixed faults, by seed. At every start the world checks that no task
+//! runs twice and that no task of a cancelled job starts. At the end every accepted job must
+//! be in its expected state.
 
 use std::ops::Range;
 
@@ -10,23 +11,23 @@
 
 use crate::world::{World, job, lasting, name, step};
 
-struct Day {
+struct Scenario {
     world: World,
     accepted: Vec<u64>,
     cancelled: Vec<u64>,
     next: u64,
-    /// How many kinds of faults there are.
+    /// Number of kinds of faults that may occur.
     faults: u32,
-    /// What went wrong: when, the kind, the instance, the worker's port.
-    story: Vec<(u64, u32, EntryName, u16)>,
+    /// Injected faults: time, kind, instance and the worker's port.
+    injected: Vec<(u64, u32, EntryName, u16)>,
 }
 
-/// Kinds of faults where the leader calls its workers itself, and those of followers that
-/// do on top.
+/// Kinds of faults if the leader calls its workers itself, and including those of followers
+/// that call workers for it.
 const FAULTS: u32 = 8;
 const CARRIED_FAULTS: u32 = 12;
 
-impl Day {
+impl Scenario {
     fn new(world: World, faults: u32) -> Self {
         Self {
             world,
@@ -34,7 +35,7 @@
             cancelled: Vec::new(),
             next: 1,
             faults,
-            story: Vec::new(),
+            injected: Vec::new(),
         }
     }
 
@@ -67,12 +68,13 @@
         }
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let world = &mut self.world;
         let place = name(world.rng.random_range(1..=3));
         let port = 1_000 + world.rng.random_range(0..5);
         let kind = world.rng.random_range(0..self.faults);
-        self.story.push((world.now_ms, kind, place.clone(), port));
+        self.injected
+            .push((world.now_ms, kind, place.clone(), port));
         match kind {
             0 => {
                 world.kill(&place);
@@ -93,7 +95,7 @@
                 world.kill(&place);
                 world.run_ms(600);
                 world.wipe(&place);
-                // Another disk may be lost only once this one has caught up.
+                // Only one disk at a time may be lost: wait until this instance has caught up.
                 world.run_ms(5_000);
             }
             4 => {
@@ -137,32 +139,35 @@
         for round in 0..60 {
             self.submit();
             if round % 6 == 5 {
-                self.fault();
+                self.inject_fault();
             }
         }
         self.world.late_per_mille = 0;
         self.world.run_ms(25_000);
-        let story = &self.story;
+        let faults = &self.injected;
         let leader = self.world.leader();
-        let leader = leader.unwrap_or_else(|| panic!("seed {seed}: nobody leads: {story:?}"));
+        let leader = leader.unwrap_or_else(|| panic!("seed {seed}: no leader: {faults:?}"));
         for id in self.accepted {
             let job = self.world.state(&leader).job(JobId::from(id));
             let state = job.map(|job| job.state());
-            let wanted: &[JobState] = match (self.cancelled.contains(&id), id % 10) {
+            let expected: &[JobState] = match (self.cancelled.contains(&id), id % 10) {
                 (true, _) => &[JobState::Cancelled, JobState::Completed],
                 (false, 0) if id < 60 => &[JobState::Running],
                 (false, _) => &[JobState::Completed],
             };
-            let fine = state.is_some_and(|state| wanted.contains(&state));
-            assert!(fine, "seed {seed}: job {id} is {state:?}: {story:?}");
+            let is_expected = state.is_some_and(|state| expected.contains(&state));
+            assert!(
+                is_expected,
+                "seed {seed}: job {id} is {state:?}: {faults:?}"
+            );
         }
     }
 }
 
-/// Seeds from the environment, as `RANDOM_SEEDS=FIRST..LAST`, or the usual ones.
-fn seeds(usual: Range<u64>) -> Range<u64> {
+/// Returns the seeds from the environment, as `RANDOM_SEEDS=FIRST..LAST`, or the default ones.
+fn seeds(default_seeds: Range<u64>) -> Range<u64> {
     let Ok(text) = std::env::var("RANDOM_SEEDS") else {
-        return usual;
+        return default_seeds;
     };
     let (first, last) = text.split_once("..").expect("RANDOM_SEEDS is FIRST..LAST");
     first.parse().unwrap()..last.parse().unwrap()
@@ -171,15 +176,15 @@
 #[test]
 fn mixed_faults_break_no_promise() {
     for seed in seeds(1_000..1_012) {
-        Day::new(World::new(seed, 5, 4), FAULTS).play(seed);
+        Scenario::new(World::new(seed, 5, 4), FAULTS).play(seed);
     }
 }
 
-/// The same where followers carry out all orders to workers, with faults between the
-/// leader, its followers and their workers on top.
+/// As above, where followers send all orders to workers, with additional faults between the
+/// leader, its followers and their workers.
 #[test]
 fn mixed_faults_break_no_promise_where_followers_carry_orders() {
     for seed in seeds(2_000..2_024) {
-        Day::new(World::carried(seed, 5, 4), CARRIED_FAULTS).play(seed);
+        Scenario::new(World::carried(seed, 5, 4), CARRIED_FAULTS).play(seed);
     }
 }
--- a/tests/control/slow_days.rs
+++ b/tests/control/slow_days.rs
@@ -1,48 +1,48 @@
-//! Seeded days on which everything may come late: syncs, messages, answers of workers and
-//! orders to them; workers are lost and come back, instances stand still or are cut off. At
-//! every start and acknowledgement the world checks that no task runs twice, neither at once
-//! nor after an end as done that was acknowledged.
+//! Random scenarios, by seed, in which everything may be delayed: log syncs, messages, orders
+//! to workers and their answers. Workers crash and return; instances freeze or are
+//! partitioned. At every start and acknowledgement the world checks that no task runs twice,
+//! neither at the same time nor after its completion was acknowledged.
 
 use rand::Rng;
 use rosemarygauge::jobs::Step;
 
 use crate::world::{World, address, job, lasting, name, step};
 
-/// Between two happenings.
+/// Mean pause between two events.
 const PAUSE_MS: u64 = 150;
-/// Happenings of a day.
-const HAPPENINGS: usize = 80;
-/// The slowest syncs with which a leader still hears its voters in time.
-const SYNC_MAX_MS: u64 = 140;
-/// Kinds of happenings without cuts of zones and waves, and with them.
+/// Events of a scenario.
+const EVENTS: usize = 80;
+/// Slowest sync with which a leader still hears from its voters in time.
+const MAX_SYNC_MS: u64 = 140;
+/// Kinds of events without zone partitions and waves, and with them.
 const KINDS: u32 = 14;
 const ZONE_KINDS: u32 = 16;
 /// Workers of the pool in which tasks run, from port 1,000 on.
-const EAST: u16 = 5;
+const EAST_WORKERS: u16 = 5;
 
-/// A day in the making.
-struct Day {
+/// A scenario in progress.
+struct Scenario {
     world: World,
     next: u64,
-    /// How many kinds of happenings there are.
+    /// Number of kinds of events that may occur.
     kinds: u32,
-    /// What is to be undone, and when.
+    /// Faults to end, each with its time.
     undo: Vec<(u64, Undo)>,
 }
 
-/// The end of something that lasts a while.
+/// The end of a fault that lasts a while.
 #[derive(Clone, Debug)]
 enum Undo {
-    /// A pair of ends can reach each other again.
+    /// Messages from the first end to the second arrive again.
     Cut(String, String),
-    /// Messages from one instance to another go on.
+    /// Held messages from one instance to another are delivered.
     Hold(usize, usize),
     Thaw(usize),
     Restart(usize),
     Late,
 }
 
-impl Day {
+impl Scenario {
     fn new(mut world: World, kinds: u32) -> Self {
         for worker in world.workers.values_mut() {
             worker.clock_rate = 980 + u64::from(worker.address.port()) % 3 * 10;
@@ -55,12 +55,12 @@
         }
     }
 
-    fn later(&mut self, within_ms: std::ops::Range<u64>, undo: Undo) {
+    fn schedule(&mut self, within_ms: std::ops::Range<u64>, undo: Undo) {
         let at_ms = self.world.now_ms + self.world.rng.random_range(within_ms);
         self.undo.push((at_ms, undo));
     }
 
-    fn undo_due(&mut self, all: bool) {
+    fn end_due_faults(&mut self, all: bool) {
         let now_ms = self.world.now_ms;
         let (due, rest): (Vec<_>, Vec<_>) = self
             .undo
@@ -96,7 +96,7 @@
         self.world.submit(at, "quick", id, spec);
     }
 
-    /// Jobs that wait in a pool without workers: what comes after them is durable late.
+    /// Submits jobs to a pool without workers; changes after them become durable late.
     fn submit_many(&mut self) {
         let Some(leader) = self.world.leader() else {
             return;
@@ -111,12 +111,12 @@
 
     fn cut(&mut self, from: String, to: String) {
         self.world.cut.insert((from.clone(), to.clone()));
-        self.later(300..8_000, Undo::Cut(from, to));
+        self.schedule(300..8_000, Undo::Cut(from, to));
     }
 
-    /// An instance and two workers are cut off from everyone else.
+    /// Partitions an instance and two workers from the others.
     fn cut_zone(&mut self, place: usize, port: u16) {
-        let next = 1_000 + (port + 1) % EAST;
+        let next = 1_000 + (port + 1) % EAST_WORKERS;
         let inside = [
             name(place).to_string(),
             address(port).to_string(),
@@ -134,10 +134,10 @@
         }
     }
 
-    fn happen(&mut self) {
+    fn inject_event(&mut self) {
         let place = self.world.rng.random_range(1..=3_usize);
         let other = 1 + place % 3;
-        let port = 1_000 + self.world.rng.random_range(0..EAST);
+        let port = 1_000 + self.world.rng.random_range(0..EAST_WORKERS);
         let kind: u32 = self.world.rng.random_range(0..self.kinds);
         let worker = address(port).to_string();
         let ready = self.world.is_up(&name(place)) && self.undo.len() < 8;
@@ -145,9 +145,9 @@
             0 => self.submit_many(),
             1 => {
                 let slower_ms = self.world.sync_ms + 45;
-                self.world.sync_ms = slower_ms.min(SYNC_MAX_MS);
+                self.world.sync_ms = slower_ms.min(MAX_SYNC_MS);
             }
-            // A worker's answers, or what is ordered of it, are lost.
+            // A worker's answers, or the orders to it, are lost.
             2 | 3 => (1..=3).for_each(|at| self.cut(worker.clone(), name(at).to_string())),
             4 => (1..=3).for_each(|at| self.cut(name(at).to_string(), worker.clone())),
             5 => {
@@ -162,19 +162,19 @@
             }
             8 => {
                 self.world.late_per_mille = 60;
-                self.later(500..5_000, Undo::Late);
+                self.schedule(500..5_000, Undo::Late);
             }
             9 if ready => {
                 self.world.hold(&name(place), &name(other), true);
-                self.later(50..2_500, Undo::Hold(place, other));
+                self.schedule(50..2_500, Undo::Hold(place, other));
             }
             10 if ready => {
                 self.world.freeze(&name(place), true);
-                self.later(300..3_000, Undo::Thaw(place));
+                self.schedule(300..3_000, Undo::Thaw(place));
             }
             11 if ready => {
                 self.world.kill(&name(place));
-                self.later(500..3_000, Undo::Restart(place));
+                self.schedule(500..3_000, Undo::Restart(place));
             }
             12 if ready => {
                 self.cut(name(place).to_string(), name(other).to_string());
@@ -182,7 +182,7 @@
             }
             14 if ready => self.cut_zone(place, port),
             15 => {
-                let machines = (0..EAST).map(|port| format!("m-{}", 1_000 + port));
+                let machines = (0..EAST_WORKERS).map(|port| format!("m-{}", 1_000 + port));
                 let machines: Vec<String> = machines.collect();
                 let machines: Vec<&str> = machines.iter().map(String::as_str).collect();
                 self.world.start_wave(place, &machines, 1);
@@ -192,44 +192,44 @@
     }
 
     fn play(mut self, seed: u64) {
-        // Told with a failure only.
+        // The test runner prints this only for a failed test.
         println!("seed {seed}");
-        for _ in 0..HAPPENINGS {
+        for _ in 0..EVENTS {
             self.submit();
-            self.happen();
+            self.inject_event();
             let pause_ms = self.world.rng.random_range(5..2 * PAUSE_MS);
             self.world.run_ms(pause_ms);
-            self.undo_due(false);
+            self.end_due_faults(false);
         }
-        self.undo_due(true);
+        self.end_due_faults(true);
         self.world.run_ms(12_000);
     }
 }
 
-/// Seeds from the environment, as `SLOW_SEEDS=FIRST..LAST`, or the usual ones.
-fn seeds(usual: std::ops::Range<u64>) -> std::ops::Range<u64> {
+/// Returns the seeds from the environment, as `SLOW_SEEDS=FIRST..LAST`, or the default ones.
+fn seeds(default_seeds: std::ops::Range<u64>) -> std::ops::Range<u64> {
     let Ok(text) = std::env::var("SLOW_SEEDS") else {
-        return usual;
+        return default_seeds;
     };
     let (first, last) = text.split_once("..").expect("SLOW_SEEDS is FIRST..LAST");
     first.parse().unwrap()..last.parse().unwrap()
 }
 
-fn play(usual: std::ops::Range<u64>, kinds: u32) {
-    for seed in seeds(usual) {
-        for world in World::both(seed, EAST, 0) {
-            Day::new(world, kinds).play(seed);
+fn play(default_seeds: std::ops::Range<u64>, kinds: u32) {
+    for seed in seeds(default_seeds) {
+        for world in World::both(seed, EAST_WORKERS, 0) {
+            Scenario::new(world, kinds).play(seed);
         }
     }
 }
 
 #[test]
-fn nothing_runs_twice_however_late_all_is() {
+fn no_task_runs_twice_when_everything_is_delayed() {
     play(3_109..3_110, KINDS);
 }
 
-/// The same where an instance is cut off with its workers, and machines are due for upkeep.
+/// As above, with partitions of an instance together with workers, and with upkeeps.
 #[test]
-fn nothing_runs_twice_where_zones_are_cut_and_machines_leave() {
+fn no_task_runs_twice_with_zone_partitions_and_upkeeps() {
     play(4_000..4_001, ZONE_KINDS);
 }
