--- a/src/control/capacity.rs
+++ b/src/control/capacity.rs
@@ -42,8 +42,8 @@
     pub demand: &'a BTreeMap<PoolName, PoolDemand>,
     /// The load that arrives at each pool now, and the load that is forecast.
     pub offers: &'a BTreeMap<PoolName, OfferedLoad>,
-    /// Workers that must not be moved now: a start is proposed on them, or they are drained for
-    /// upkeep or ending.
+    /// Workers that must not be moved now: a start is proposed on them, or they are being
+    /// drained for upkeep, or they are ending.
     pub busy: &'a BTreeSet<InstanceName>,
     /// Machines that are being drained or are down for upkeep.
     pub taken: &'a BTreeSet<String>,
@@ -332,8 +332,8 @@
     }
 }
 
-/// Counts the workers that still run lasting tasks while their machines are drained for
-/// upkeep.
+/// Counts the workers that still run lasting tasks while their machines are being
+/// drained for upkeep.
 ///
 /// The tasks that are stopped there need room elsewhere. While such machines counted as
 /// available, the pool did not ask for others: the stopped tasks found no worker, the
--- a/src/control/capacity/balance.rs
+++ b/src/control/capacity/balance.rs
@@ -6,7 +6,7 @@
     pub(super) name: PoolName,
     /// Usable machines in the pool, without those that are about to leave it.
     pub(super) has: usize,
-    /// Machines that are moving to the pool or are drained for that.
+    /// Machines that are moving to the pool or are being drained for that.
     pub(super) incoming: usize,
     /// Machines that the pool's current and forecast work needs.
     pub(super) needs: usize,
--- a/src/control/capacity/transit.rs
+++ b/src/control/capacity/transit.rs
@@ -13,10 +13,10 @@
 /// until its move there is complete.
 const STANDBY_DELAY_MS: u64 = 2_000;
 
-/// Machines that are drained for a move, are moving, or arrived lately.
+/// Machines that are being drained for a move, are moving, or arrived lately.
 #[derive(Debug, Default)]
 pub(super) struct Transit {
-    /// Machines that are drained for a move.
+    /// Machines that are being drained for a move.
     draining: BTreeMap<String, Draining>,
     /// Moving machines, each with its destination and the time of its departure.
     moving: BTreeMap<String, (PoolName, u64)>,
@@ -71,13 +71,13 @@
             || self.retry_after_ms.contains_key(machine)
     }
 
-    /// Counts the machines that are moving to a pool or are drained for that.
+    /// Counts the machines that are moving to a pool or are being drained for that.
     pub(super) fn count_incoming(&self, pool: &PoolName) -> usize {
         let moving = self.moving.values().filter(|(to, _)| to == pool).count();
         moving + self.draining.values().filter(|e| e.to == *pool).count()
     }
 
-    /// Counts the workers whose machines are drained for a move.
+    /// Counts the workers whose machines are being drained for a move.
     pub(super) fn count_draining(&self, workers: &[WorkerUse]) -> usize {
         let is_draining = |w: &&WorkerUse| {
             let machine = w.machine.as_ref();
--- a/src/control/forecast.rs
+++ b/src/control/forecast.rs
@@ -315,7 +315,7 @@
     let (newer, older) = (count(half_ms, 0), count(2 * half_ms, half_ms));
     let is_significant = newer - older > needs.rise_deviations * (newer + older).sqrt();
     let per_ms = (newer - older) / (half_ms * half_ms) as f64;
-    // Extrapolates from the middle of the window.
+    // From the middle of the window until `needs.ahead_ms` from now.
     let ahead_ms = (needs.ahead_ms + half_ms) as f64;
     let rise = match is_significant && needs.ahead_ms > 0 && rate > 0.0 {
         true => (per_ms * ahead_ms * needs.rise_part / rate).min(needs.rise_most),
--- a/src/control/upkeep.rs
+++ b/src/control/upkeep.rs
@@ -136,7 +136,8 @@
         Self { draining, down }
     }
 
-    /// Returns the workers that are closed to new tasks because their machines are drained.
+    /// Returns the workers that are closed to new tasks because their machines are being
+    /// drained.
     pub fn closed(&self) -> impl Iterator<Item = &InstanceName> {
         self.draining.values().filter_map(|e| e.worker.as_ref())
     }
