--- a/src/control/capacity.rs
+++ b/src/control/capacity.rs
@@ -46,7 +46,7 @@
     /// drained for upkeep, or they are ending.
     pub busy: &'a BTreeSet<InstanceName>,
     /// Machines that are being drained or are down for upkeep.
-    pub taken: &'a BTreeSet<String>,
+    pub in_upkeep: &'a BTreeSet<String>,
     /// Machines whose upkeep is due.
     pub due: &'a BTreeSet<String>,
     /// The operator's policy.
@@ -66,7 +66,7 @@
 
 impl Capacity {
     /// Updates the standby and moving machines from the platform's list of machines.
-    pub fn listed(&mut self, now_ms: u64, state: &State, machines: &[Machine]) {
+    pub fn update_machines(&mut self, now_ms: u64, state: &State, machines: &[Machine]) {
         let Some(configuration) = state.configuration() else {
             return;
         };
@@ -77,7 +77,7 @@
             .filter(|m| !self.transit.is_moving(&m.name))
             .map(|m| (m.name.clone(), m.pool.clone()))
             .collect();
-        self.transit.listed(now_ms, machines);
+        self.transit.update_moving(now_ms, machines);
     }
 
     /// Returns whether a machine is off.
@@ -86,19 +86,19 @@
     }
 
     /// Returns the machines that are off.
-    pub fn standby(&self) -> impl Iterator<Item = &String> {
+    pub fn standby_machines(&self) -> impl Iterator<Item = &String> {
         self.standby.keys()
     }
 
     /// Returns the workers that are closed to new tasks because their machines are about to
     /// move.
-    pub fn closed(&self) -> impl Iterator<Item = &InstanceName> {
-        self.transit.closed()
+    pub fn closed_workers(&self) -> impl Iterator<Item = &InstanceName> {
+        self.transit.closed_workers()
     }
 
     /// Records that the platform accepted a move: the machine is moving or, in a standby pool,
     /// off.
-    pub fn moved(&mut self, now_ms: u64, state: &State, machine: &str, pool: &PoolName) {
+    pub fn record_move(&mut self, now_ms: u64, state: &State, machine: &str, pool: &PoolName) {
         self.standby.remove(machine);
         let to_standby = state
             .configuration()
@@ -106,12 +106,12 @@
         if to_standby {
             self.standby.insert(machine.to_owned(), pool.clone());
         }
-        self.transit.moved(now_ms, machine, pool, to_standby);
+        self.transit.record_move(now_ms, machine, pool, to_standby);
     }
 
     /// Records that the platform refused a move.
-    pub fn refused(&mut self, now_ms: u64, machine: &str) {
-        self.transit.refused(now_ms, machine);
+    pub fn record_refusal(&mut self, now_ms: u64, machine: &str) {
+        self.transit.record_refusal(now_ms, machine);
     }
 
     /// Returns the moves to order now.
@@ -151,7 +151,7 @@
         let size = demand.size().unwrap_or_else(|| average_size(world.demand));
         let offer = world.offers.get(pool).copied().unwrap_or_default();
         let leaving = self.transit.count_draining(&demand.workers)
-            + draining_for_upkeep(&demand.workers, world.taken);
+            + draining_for_upkeep(&demand.workers, world.in_upkeep);
         let needs = demand.needed_machines(&size, &offer, &world.policy.needs);
         let (moves, standby) = (&world.policy.moves, &world.policy.standby);
         let peaks = self.peaks.entry(pool.clone()).or_default();
@@ -269,7 +269,7 @@
         let free = self
             .standby
             .keys()
-            .filter(|m| !self.transit.is_in_retry_delay(m) && !world.taken.contains(*m));
+            .filter(|m| !self.transit.is_in_retry_delay(m) && !world.in_upkeep.contains(*m));
         let machine = free.min_by_key(|m| world.due.contains(*m)).cloned();
         let Some(machine) = machine else {
             return false;
@@ -314,7 +314,7 @@
     ) -> Vec<&'a WorkerUse> {
         let is_kept = |machine: &String| {
             let policy = &world.policy.moves;
-            self.transit.is_pinned(now_ms, machine, policy) || world.taken.contains(machine)
+            self.transit.is_pinned(now_ms, machine, policy) || world.in_upkeep.contains(machine)
         };
         let is_due = |w: &WorkerUse| w.machine.as_ref().is_some_and(|m| world.due.contains(m));
         let workers = world.demand.get(pool).into_iter().flat_map(|d| &d.workers);
@@ -339,10 +339,10 @@
 /// available, the pool did not ask for others: the stopped tasks found no worker, the
 /// disruption budgets of their steps blocked further stops, and neither the tasks nor the
 /// wave made progress.
-fn draining_for_upkeep(workers: &[WorkerUse], taken: &BTreeSet<String>) -> usize {
-    let is_taken = |w: &&WorkerUse| w.machine.as_ref().is_some_and(|m| taken.contains(m));
+fn draining_for_upkeep(workers: &[WorkerUse], in_upkeep: &BTreeSet<String>) -> usize {
+    let is_in_upkeep = |w: &&WorkerUse| w.machine.as_ref().is_some_and(|m| in_upkeep.contains(m));
     let lasting = workers.iter().filter(|w| w.lasting > 0);
-    lasting.filter(is_taken).count()
+    lasting.filter(is_in_upkeep).count()
 }
 
 /// Returns the pool with the largest deficit relative to its need.
--- a/src/control/capacity/transit.rs
+++ b/src/control/capacity/transit.rs
@@ -38,7 +38,7 @@
 
 impl Transit {
     /// Adds the machines that the platform lists as moving.
-    pub(super) fn listed(&mut self, now_ms: u64, machines: &[Machine]) {
+    pub(super) fn update_moving(&mut self, now_ms: u64, machines: &[Machine]) {
         for machine in machines.iter().filter(|m| m.phase == MachinePhase::Moving) {
             self.moving
                 .entry(machine.name.clone())
@@ -48,7 +48,7 @@
 
     /// Returns the workers that are closed to new tasks because their machines are about to
     /// move.
-    pub(super) fn closed(&self) -> impl Iterator<Item = &InstanceName> {
+    pub(super) fn closed_workers(&self) -> impl Iterator<Item = &InstanceName> {
         let draining = self.draining.values().map(|e| &e.worker);
         draining.chain(self.ordered.values())
     }
@@ -117,7 +117,13 @@
 
     /// Records that the platform accepted a move: the machine is moving or, with `to_standby`, in
     /// standby.
-    pub(super) fn moved(&mut self, now_ms: u64, machine: &str, pool: &PoolName, to_standby: bool) {
+    pub(super) fn record_move(
+        &mut self,
+        now_ms: u64,
+        machine: &str,
+        pool: &PoolName,
+        to_standby: bool,
+    ) {
         self.draining.remove(machine);
         if to_standby {
             self.moving.remove(machine);
@@ -130,7 +136,7 @@
     }
 
     /// Records that the platform refused a move.
-    pub(super) fn refused(&mut self, now_ms: u64, machine: &str) {
+    pub(super) fn record_refusal(&mut self, now_ms: u64, machine: &str) {
         self.moving.remove(machine);
         self.ordered.remove(machine);
         self.draining.remove(machine);
--- a/src/control/machine_list.rs
+++ b/src/control/machine_list.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns whether to request the list now, and if so records the request.
-    pub fn ask(&mut self, now_ms: u64) -> bool {
+    pub fn request_if_due(&mut self, now_ms: u64) -> bool {
         let due = now_ms >= self.next_request_ms && self.requested_ms.is_none();
         if due {
             self.requested_ms = Some(now_ms);
@@ -51,7 +51,7 @@
     }
 
     /// Records the answer to a request, `None` if the request failed.
-    pub fn read(&mut self, now_ms: u64, machines: Option<&[Machine]>) {
+    pub fn record_list(&mut self, now_ms: u64, machines: Option<&[Machine]>) {
         let requested_ms = self.requested_ms.take();
         let Some(machines) = machines else {
             self.next_request_ms = now_ms + RETRY_DELAY_MS;
@@ -64,7 +64,7 @@
     }
 
     /// Records that a machine is present.
-    pub fn seen(&mut self, machine: &str) {
+    pub fn record_present(&mut self, machine: &str) {
         self.missing.remove(machine);
     }
 
@@ -74,7 +74,7 @@
     /// Only a list that was requested after the machine went missing counts. With an older list,
     /// a machine that was added or moved after that list was read would be taken for gone, and
     /// its wave would complete without its upkeep.
-    pub fn has_gone(&mut self, now_ms: u64, machine: &str) -> bool {
+    pub fn record_missing(&mut self, now_ms: u64, machine: &str) -> bool {
         let missing_ms = *self.missing.entry(machine.to_owned()).or_insert(now_ms);
         self.next_request_ms = self
             .next_request_ms
@@ -84,7 +84,7 @@
     }
 
     /// Returns whether a machine was found to no longer exist.
-    pub fn is_gone(&self, machine: &str) -> bool {
+    pub fn is_removed(&self, machine: &str) -> bool {
         self.gone.contains(machine)
     }
 }
--- a/src/control/node/applied.rs
+++ b/src/control/node/applied.rs
@@ -118,8 +118,8 @@
                 lead.due.remove(&(*job, *occurrence));
             }
             Change::UpkeepBegun { machine, .. } => {
-                let gone = lead.machines.is_gone(machine);
-                lead.upkeep.begun(now_ms, machine, gone);
+                let gone = lead.machines.is_removed(machine);
+                lead.upkeep.record_begun(now_ms, machine, gone);
             }
             Change::Configure(_) => self.configured(),
             Change::ConfigurePart(part) if part.is_last() => self.configured(),
--- a/src/control/node/keeping.rs
+++ b/src/control/node/keeping.rs
@@ -33,7 +33,7 @@
         if needs_due {
             lead.needs_ms = now_ms;
         }
-        if lead.machines.ask(now_ms) {
+        if lead.machines.request_if_due(now_ms) {
             self.out.push(Effect::ListMachines);
         }
         self.keep_waves(now_ms);
@@ -49,7 +49,7 @@
         let Some(lead) = &mut self.lead else {
             return;
         };
-        let off = lead.capacity.standby().cloned().collect();
+        let off = lead.capacity.standby_machines().cloned().collect();
         let busy = lead.scheduler.proposed.values().map(|p| p.worker.clone());
         let world = UpkeepWorld {
             state: &self.state,
@@ -103,8 +103,8 @@
         for wave in self.state.waves().values() {
             for machine in wave.due() {
                 if known.contains_key(machine) || lead.capacity.is_off(machine) {
-                    lead.machines.seen(machine);
-                } else if lead.machines.has_gone(now_ms, machine) {
+                    lead.machines.record_present(machine);
+                } else if lead.machines.record_missing(now_ms, machine) {
                     tracing::info!(
                         wave = wave.number,
                         machine,
@@ -146,7 +146,7 @@
         let forecast = &mut lead.forecast;
         forecast.tick(now_unix_ms, history, estimates, configuration);
         let offers = forecast.offers(now_unix_ms, history, estimates, configuration, policy);
-        let mut busy: BTreeSet<InstanceName> = lead.upkeep.closed().cloned().collect();
+        let mut busy: BTreeSet<InstanceName> = lead.upkeep.closed_workers().cloned().collect();
         busy.extend(lead.ending.iter().cloned());
         busy.extend(lead.scheduler.proposed.values().map(|p| p.worker.clone()));
         let world = CapacityWorld {
@@ -154,7 +154,7 @@
             demand: &demand,
             offers: &offers,
             busy: &busy,
-            taken: &lead.upkeep.taken().cloned().collect(),
+            in_upkeep: &lead.upkeep.machines_in_upkeep().cloned().collect(),
             due: &Upkeep::due_machines(&self.state),
             policy,
         };
@@ -208,14 +208,15 @@
         let Some(lead) = &mut self.lead else {
             return;
         };
-        lead.machines.read(now_ms, machines.as_deref());
+        lead.machines.record_list(now_ms, machines.as_deref());
         let Some(machines) = machines else {
             return;
         };
-        lead.capacity.listed(now_ms, &self.state, &machines);
+        lead.capacity
+            .update_machines(now_ms, &self.state, &machines);
         tracing::info!(
             machines = machines.len(),
-            off = lead.capacity.standby().count(),
+            off = lead.capacity.standby_machines().count(),
             "capacity: the list of machines is read"
         );
     }
@@ -235,7 +236,7 @@
             MachineOrderKind::Move { pool } => match outcome {
                 MachineOutcome::Done => {
                     lead.capacity
-                        .moved(now_ms, &self.state, &order.machine, pool);
+                        .record_move(now_ms, &self.state, &order.machine, pool);
                     self.worker_ended(worker);
                 }
                 MachineOutcome::Unanswered => {
@@ -244,7 +245,9 @@
                 MachineOutcome::Fenced
                 | MachineOutcome::Busy
                 | MachineOutcome::NoSuchMachine
-                | MachineOutcome::Overloaded => lead.capacity.refused(now_ms, &order.machine),
+                | MachineOutcome::Overloaded => {
+                    lead.capacity.record_refusal(now_ms, &order.machine)
+                }
             },
         }
     }
@@ -270,9 +273,9 @@
                 self.worker_ended(worker);
             }
             MachineOutcome::Fenced | MachineOutcome::Busy | MachineOutcome::Overloaded => {
-                lead.upkeep.not_begun(now_ms, &machine, true);
+                lead.upkeep.record_not_begun(now_ms, &machine, true);
             }
-            MachineOutcome::Unanswered => lead.upkeep.not_begun(now_ms, &machine, false),
+            MachineOutcome::Unanswered => lead.upkeep.record_not_begun(now_ms, &machine, false),
         }
     }
 
--- a/src/control/node/pass.rs
+++ b/src/control/node/pass.rs
@@ -37,9 +37,12 @@
         let starts_max = starts_open.saturating_sub(lead.open_starts());
         let mut starts = Vec::new();
         if starts_max > 0 {
-            let closed = lead.upkeep.closed().chain(lead.capacity.closed());
+            let closed = lead
+                .upkeep
+                .closed_workers()
+                .chain(lead.capacity.closed_workers());
             lead.scheduler.closed = closed.cloned().collect();
-            lead.scheduler.due = Upkeep::due(&self.state);
+            lead.scheduler.due = Upkeep::due_workers(&self.state);
             starts = lead.scheduler.pass(now_ms, &world, starts_max);
         }
         self.looked += std::mem::take(&mut lead.scheduler.looked);
--- a/src/control/upkeep.rs
+++ b/src/control/upkeep.rs
@@ -138,7 +138,7 @@
 
     /// Returns the workers that are closed to new tasks because their machines are being
     /// drained.
-    pub fn closed(&self) -> impl Iterator<Item = &InstanceName> {
+    pub fn closed_workers(&self) -> impl Iterator<Item = &InstanceName> {
         self.draining.values().filter_map(|e| e.worker.as_ref())
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// Returns the machines that are being drained or are down for upkeep.
-    pub fn taken(&self) -> impl Iterator<Item = &String> {
+    pub fn machines_in_upkeep(&self) -> impl Iterator<Item = &String> {
         self.draining.keys().chain(self.down.keys())
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Returns the workers on machines that are due for upkeep.
-    pub fn due(state: &State) -> BTreeSet<InstanceName> {
+    pub fn due_workers(state: &State) -> BTreeSet<InstanceName> {
         let due: BTreeSet<&String> = state.waves().values().flat_map(Wave::due).collect();
         if due.is_empty() {
             return BTreeSet::new();
@@ -179,7 +179,7 @@
 
     /// Records that the upkeep of a machine has begun or, with `gone`, that the machine no
     /// longer exists.
-    pub fn begun(&mut self, now_ms: u64, machine: &str, gone: bool) {
+    pub fn record_begun(&mut self, now_ms: u64, machine: &str, gone: bool) {
         if gone {
             self.draining.remove(machine);
             return;
@@ -194,7 +194,7 @@
 
     /// Records that the platform refused the order, or did not answer it, and schedules a
     /// retry.
-    pub fn not_begun(&mut self, now_ms: u64, machine: &str, refused: bool) {
+    pub fn record_not_begun(&mut self, now_ms: u64, machine: &str, refused: bool) {
         if let Some(draining) = self.draining.get_mut(machine) {
             let unconfirmed = !refused || draining.ever_unanswered;
             draining.ever_unanswered = unconfirmed;
