--- a/src/control/timing.rs
+++ b/src/control/timing.rs
@@ -22,7 +22,7 @@
 
 impl Timing {
     /// Returns the duration of the leases that workers get: the longest that they accept, up to
-    /// [`MAX_LEASE_MS`].
+    /// `MAX_LEASE_MS`.
     pub fn lease_ms(&self) -> u64 {
         self.lease_max_ms.min(MAX_LEASE_MS)
     }
