--- a/src/control/backlog.rs
+++ b/src/control/backlog.rs
@@ -1,32 +1,31 @@
-//! The steps of which tasks wait, by pool and in the order of their ranks.
+//! The steps with waiting tasks, by pool and ordered by rank.
 //!
-//! Answers a backlog of thousands of jobs. A pass that ranks all of them anew costs in
-//! proportion to what waits, and what it costs makes more wait: the leader's one thread
-//! comes late to workers' answers, takes them for lost and repeats its orders, workers
-//! stand idle, and the backlog stays after the load that made it is gone. Here the order
-//! is kept from pass to pass. A job is ranked anew when something of it changed, when time
-//! alone brings it into another class, and otherwise a few jobs a pass in turn, as learnt
-//! run times drift.
+//! The backlog may hold thousands of jobs. Ranking all of them in every pass takes time in
+//! proportion to the backlog, and that time makes the backlog grow: the leader's only
+//! thread reads the workers' answers late, counts them as lost and repeats its orders,
+//! workers idle, and the backlog remains after the load that caused it has gone. Therefore
+//! the order is kept between passes. A job is ranked again when it has changed or when the
+//! passing of time moves it to another class; in addition, every pass ranks a few jobs in
+//! rotation, because learned run times drift.
 
 mod entry;
-mod order;
-mod row;
+mod pool_backlog;
+mod ranked_steps;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Estimates, Policy, Queue, Remaining, Sizes, State, ranking};
 use crate::jobs::{Job, JobId, Occurrence};
 use crate::model::PoolName;
-pub(super) use entry::{Entry, Waits};
-pub(super) use order::Order;
-pub(super) use row::Row;
+pub(super) use entry::{Entry, StepDemand};
+pub(super) use pool_backlog::PoolBacklog;
+pub(super) use ranked_steps::RankedSteps;
 
-/// Jobs that a pass ranks anew though nothing is known to have changed: their run times
-/// are learnt meanwhile, and a change that was missed must not keep a job waiting for
-/// good.
-const TURN_JOBS: usize = 24;
+/// Number of unchanged jobs that each pass ranks again in rotation: their learned run
+/// times drift, and a change that was missed must not keep a job waiting for ever.
+const REFRESHED_JOBS_PER_PASS: usize = 24;
 
-/// What the ranks are worked out from.
+/// The input from which ranks are computed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BacklogWorld<'a> {
     pub(super) state: &'a State,
@@ -35,45 +34,51 @@
     pub(super) sizes: &'a Sizes,
 }
 
-/// The steps that wait.
+/// The waiting steps of all pools.
 #[derive(Debug, Default)]
 pub(super) struct Backlog {
-    pools: BTreeMap<PoolName, Row>,
-    jobs: BTreeMap<JobId, Ranked>,
-    /// When the class of a job changes by time alone.
-    turning: BTreeSet<(u64, JobId)>,
+    pools: BTreeMap<PoolName, PoolBacklog>,
+    jobs: BTreeMap<JobId, RankedJob>,
+    /// Times in milliseconds since 1970 at which jobs change their class by time alone.
+    class_changes: BTreeSet<(u64, JobId)>,
     touched: BTreeSet<JobId>,
-    /// The job that was ranked last in turn.
-    turn: Option<JobId>,
+    /// The job that was last ranked in rotation.
+    last_refreshed: Option<JobId>,
 }
 
-/// A job's entries.
+/// The backlog entries of a job.
 #[derive(Debug)]
-struct Ranked {
+struct RankedJob {
     pool: PoolName,
     large: bool,
-    entries: Vec<(Entry, Waits)>,
-    turns_unix_ms: Option<u64>,
+    entries: Vec<(Entry, StepDemand)>,
+    class_change_unix_ms: Option<u64>,
 }
 
 impl Backlog {
-    /// Something of a job changed.
+    /// Marks a job as changed.
     pub(super) fn touch(&mut self, job: JobId) {
         self.touched.insert(job);
     }
 
-    /// Brings the order up to date; returns the jobs that were looked at.
+    /// Brings the order up to date; returns the jobs that were visited.
     pub(super) fn refresh(&mut self, now_unix_ms: u64, world: &BacklogWorld) -> BTreeSet<JobId> {
         let mut due = std::mem::take(&mut self.touched);
-        while let Some((at_unix_ms, job)) = self.turning.first().copied()
+        while let Some((at_unix_ms, job)) = self.class_changes.first().copied()
             && at_unix_ms <= now_unix_ms
         {
-            self.turning.pop_first();
+            self.class_changes.pop_first();
             due.insert(job);
         }
-        let turn: Vec<JobId> = world.state.active_after(self.turn, TURN_JOBS).collect();
-        self.turn = turn.last().copied().filter(|_| turn.len() == TURN_JOBS);
-        due.extend(turn);
+        let next_jobs: Vec<JobId> = world
+            .state
+            .active_after(self.last_refreshed, REFRESHED_JOBS_PER_PASS)
+            .collect();
+        self.last_refreshed = next_jobs
+            .last()
+            .copied()
+            .filter(|_| next_jobs.len() == REFRESHED_JOBS_PER_PASS);
+        due.extend(next_jobs);
         let queues = world.state.queues_by_name();
         for id in &due {
             self.remove(*id);
@@ -86,21 +91,23 @@
         due
     }
 
-    /// The pools in which something waits.
-    pub(super) fn pools(&self) -> impl Iterator<Item = (&PoolName, &Row)> {
-        self.pools.iter().filter(|(_, row)| !row.is_empty())
+    /// Returns the pools with waiting steps.
+    pub(super) fn pools(&self) -> impl Iterator<Item = (&PoolName, &PoolBacklog)> {
+        self.pools.iter().filter(|(_, backlog)| !backlog.is_empty())
     }
 
-    /// Whether anything waits in a pool.
-    pub(super) fn waits_in(&self, pool: &PoolName) -> bool {
-        self.pools.get(pool).is_some_and(|row| !row.is_empty())
+    /// Returns whether any step waits in a pool.
+    pub(super) fn has_waiting(&self, pool: &PoolName) -> bool {
+        self.pools
+            .get(pool)
+            .is_some_and(|backlog| !backlog.is_empty())
     }
 
-    /// Notes behind which entries, of small and of large jobs, the next look at a pool's
-    /// rest begins.
-    pub(super) fn resume_behind(&mut self, pool: &PoolName, reached: [Option<Entry>; 2]) {
-        if let Some(row) = self.pools.get_mut(pool) {
-            row.resume = reached;
+    /// Records the entries of small and of large jobs after which the next pass resumes in
+    /// a pool.
+    pub(super) fn resume_after(&mut self, pool: &PoolName, reached: [Option<Entry>; 2]) {
+        if let Some(backlog) = self.pools.get_mut(pool) {
+            backlog.resume = reached;
         }
     }
 
@@ -108,53 +115,53 @@
         let Some(ranked) = self.jobs.remove(&id) else {
             return;
         };
-        if let Some(at_unix_ms) = ranked.turns_unix_ms {
-            self.turning.remove(&(at_unix_ms, id));
+        if let Some(at_unix_ms) = ranked.class_change_unix_ms {
+            self.class_changes.remove(&(at_unix_ms, id));
         }
-        if let Some(row) = self.pools.get_mut(&ranked.pool) {
-            for (entry, waits) in &ranked.entries {
-                row.remove(ranked.large, entry, waits);
+        if let Some(backlog) = self.pools.get_mut(&ranked.pool) {
+            for (entry, demand) in &ranked.entries {
+                backlog.remove(ranked.large, entry, demand);
             }
         }
     }
 
     fn insert(&mut self, now_unix_ms: u64, job: &Job, queue: Option<&Queue>, world: &BacklogWorld) {
-        let (entries, turns_unix_ms) = entries(now_unix_ms, job, queue, world);
+        let (entries, class_change_unix_ms) = entries(now_unix_ms, job, queue, world);
         if entries.is_empty() {
             return;
         }
         let large = world.sizes.is_large(job.id);
         if !self.pools.contains_key(&job.pool) {
-            self.pools.insert(job.pool.clone(), Row::default());
+            self.pools.insert(job.pool.clone(), PoolBacklog::default());
         }
-        if let Some(row) = self.pools.get_mut(&job.pool) {
-            for (entry, waits) in &entries {
-                row.insert(large, *entry, *waits);
+        if let Some(backlog) = self.pools.get_mut(&job.pool) {
+            for (entry, demand) in &entries {
+                backlog.insert(large, *entry, *demand);
             }
         }
-        if let Some(at_unix_ms) = turns_unix_ms {
-            self.turning.insert((at_unix_ms, job.id));
+        if let Some(at_unix_ms) = class_change_unix_ms {
+            self.class_changes.insert((at_unix_ms, job.id));
         }
-        let ranked = Ranked {
+        let ranked = RankedJob {
             pool: job.pool.clone(),
             large,
             entries,
-            turns_unix_ms,
+            class_change_unix_ms,
         };
         self.jobs.insert(job.id, ranked);
     }
 }
 
-/// The steps of a job of which tasks wait and may start, and when the class of one of
-/// them changes by time alone.
+/// Returns the steps of a job with waiting tasks that may start, and the earliest time at
+/// which one of them changes its class by time alone.
 fn entries(
     now_unix_ms: u64,
     job: &Job,
     queue: Option<&Queue>,
     world: &BacklogWorld,
-) -> (Vec<(Entry, Waits)>, Option<u64>) {
+) -> (Vec<(Entry, StepDemand)>, Option<u64>) {
     let mut entries = Vec::new();
-    let mut turns_unix_ms: Option<u64> = None;
+    let mut class_change_unix_ms: Option<u64> = None;
     let mut times = None;
     for (occurrence, tasks) in job.occurrences() {
         for (step, spec) in job.spec.steps.iter().enumerate() {
@@ -174,26 +181,26 @@
             };
             let due_unix_ms = job.due_unix_ms(occurrence);
             let order = &world.policy.order;
-            let (rank, turns) =
-                ranking::standing(now_unix_ms, job, queue, due_unix_ms, &remaining, order);
-            turns_unix_ms = turns_unix_ms.into_iter().chain(turns).min();
+            let (rank, changes) =
+                ranking::rank_job(now_unix_ms, job, queue, due_unix_ms, &remaining, order);
+            class_change_unix_ms = class_change_unix_ms.into_iter().chain(changes).min();
             let entry = Entry {
                 rank,
                 job: job.id,
                 occurrence,
                 step: step as u16,
             };
-            let waits = Waits {
+            let demand = StepDemand {
                 room: spec.reserved(),
                 cpu_milli: waiting as u64 * u64::from(spec.demand.cpu_milli),
             };
-            entries.push((entry, waits));
+            entries.push((entry, demand));
         }
     }
-    (entries, turns_unix_ms)
+    (entries, class_change_unix_ms)
 }
 
-/// The core-milliseconds that an occurrence still needs.
+/// Returns the core-milliseconds that an occurrence still needs.
 fn work_left(job: &Job, occurrence: &Occurrence, takes_ms: &[u64]) -> f64 {
     let steps = job.spec.steps.iter().enumerate();
     steps
--- a/src/control/backlog/entry.rs
+++ b/src/control/backlog/entry.rs
@@ -1,7 +1,7 @@
 use super::super::Rank;
 use crate::jobs::{JobId, Room};
 
-/// A step of which tasks wait; the smallest comes first.
+/// A step with waiting tasks; the smallest comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(in super::super) struct Entry {
     pub(in super::super) rank: Rank,
@@ -10,17 +10,17 @@
     pub(in super::super) step: u16,
 }
 
-/// What a step's waiting tasks ask for.
+/// The resources that the waiting tasks of a step ask for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in super::super) struct Waits {
-    /// Each of them, of a worker.
+pub(in super::super) struct StepDemand {
+    /// Room that each task takes of its worker.
     pub(in super::super) room: Room,
-    /// All of them, in thousandths of a core.
+    /// Processor demand of all of them together, in thousandths of a core.
     pub(in super::super) cpu_milli: u64,
 }
 
-impl Waits {
-    /// All their cores.
+impl StepDemand {
+    /// Returns the processor demand of all tasks, in cores.
     pub(super) fn cores(&self) -> f64 {
         self.cpu_milli as f64 / 1_000.0
     }
--- a/src/control/candidate.rs
+++ b/src/control/candidate.rs
@@ -4,59 +4,63 @@
 use crate::jobs::{Room, Step};
 use crate::model::InstanceName;
 
-/// A worker with what is left of its room in this pass.
+/// A worker that takes work, with the room that is left on it in the current pass.
 #[derive(Debug)]
 pub(super) struct Candidate<'a> {
     pub(super) name: &'a InstanceName,
     pub(super) rack: Option<&'a str>,
     pub(super) labels: &'a [String],
-    /// Its room without what lasting tasks hold.
-    pub(super) room: Room,
+    /// Its capacity without the room that lasting tasks hold.
+    pub(super) transient_room: Room,
     pub(super) free: Room,
     pub(super) serving: u32,
     pub(super) best_effort: u32,
-    pub(super) due: bool,
+    pub(super) upkeep_due: bool,
     pub(super) failures: f64,
-    /// Runs of the step that is being placed, where their number matters.
-    pub(super) here: u16,
+    /// Runs of the step being placed; only set if the step is lasting or limits the runs
+    /// per worker.
+    pub(super) step_runs: u16,
 }
 
-/// Moves a lasting task away from where it would disturb or be disturbed; larger
-/// than any difference in load.
-const APART_COST: f64 = 1_000.0;
-/// Moves a lasting task away from a machine that is due for upkeep.
-const DUE_COST: f64 = 300.0;
-/// Spreads the lasting tasks of one step: a lost worker should cost it one.
+/// Cost per run that a task would interfere with, and of the worker on which it failed
+/// last; larger than any difference in load.
+const INTERFERENCE_COST: f64 = 1_000.0;
+/// Cost for a lasting task of a machine that is due for upkeep.
+const UPKEEP_DUE_COST: f64 = 300.0;
+/// Cost per run of the same lasting step, which spreads its tasks so that the loss of a
+/// worker costs the step only one.
 const SAME_STEP_COST: f64 = 60.0;
-/// Moves work away from a worker with recent failures.
+/// Cost per recent failure on the worker.
 const FAILURE_COST: f64 = 200.0;
-/// Work far from its data takes a multiple of the time.
-const FAR_COST: f64 = 500.0;
+/// Cost of a rack other than that of the data or of the gang: run times are a multiple
+/// there.
+const REMOTE_DATA_COST: f64 = 500.0;
 
 impl Candidate<'_> {
-    pub(super) fn suits(&self, step: &Step) -> bool {
+    pub(super) fn meets_constraints(&self, step: &Step) -> bool {
         let labelled = step
             .label
             .as_ref()
             .is_none_or(|label| self.labels.contains(label));
-        labelled && step.per_worker_max.is_none_or(|max| self.here < max)
+        labelled && step.per_worker_max.is_none_or(|max| self.step_runs < max)
     }
 
-    /// How many more tasks of a step it has room for.
-    pub(super) fn places(&self, step: &Step) -> usize {
-        self.places_in(&self.free, step)
+    /// Returns how many more tasks of a step the worker has room for.
+    pub(super) fn tasks_that_fit(&self, step: &Step) -> usize {
+        self.tasks_that_fit_in(&self.free, step)
     }
 
-    fn places_in(&self, room: &Room, step: &Step) -> usize {
-        if !self.suits(step) {
+    fn tasks_that_fit_in(&self, room: &Room, step: &Step) -> usize {
+        if !self.meets_constraints(step) {
             return 0;
         }
-        let most = step
-            .per_worker_max
-            .map_or(u32::MAX, |max| u32::from(max.saturating_sub(self.here)));
+        let most = step.per_worker_max.map_or(u32::MAX, |max| {
+            u32::from(max.saturating_sub(self.step_runs))
+        });
         room.times_holds(&step.reserved()).min(most) as usize
     }
 
+    /// Returns the cost of placing a task of the step here; the lowest cost wins.
     pub(super) fn cost(
         &self,
         step: &Step,
@@ -68,37 +72,37 @@
         let mut cost = if policy.pack { free } else { -free };
         cost += self.failures * FAILURE_COST;
         if avoid == Some(self.name) {
-            cost += APART_COST;
+            cost += INTERFERENCE_COST;
         }
         if step.data_rack.is_some() && step.data_rack.as_deref() != self.rack {
-            cost += FAR_COST;
+            cost += REMOTE_DATA_COST;
         }
         if rack.is_some() && rack != self.rack {
-            cost += FAR_COST;
+            cost += REMOTE_DATA_COST;
         }
         if step.lasting {
-            cost += f64::from(self.here) * SAME_STEP_COST;
-            if self.due && policy.avoid_due {
-                cost += DUE_COST;
+            cost += f64::from(self.step_runs) * SAME_STEP_COST;
+            if self.upkeep_due && policy.avoid_due {
+                cost += UPKEEP_DUE_COST;
             }
         }
         if step.best_effort {
-            cost += f64::from(self.serving) * APART_COST;
+            cost += f64::from(self.serving) * INTERFERENCE_COST;
         } else if step.tail_target_ms.is_some() {
-            cost += f64::from(self.best_effort) * APART_COST;
+            cost += f64::from(self.best_effort) * INTERFERENCE_COST;
         }
         cost
     }
 
-    pub(super) fn take(&mut self, step: &Step) {
+    pub(super) fn reserve(&mut self, step: &Step) {
         self.free = self.free.less(&step.reserved());
         self.best_effort += u32::from(step.best_effort);
         self.serving += u32::from(step.tail_target_ms.is_some() && !step.best_effort);
     }
 }
 
-/// The rack with the most room, of those that have room for so many tasks of a step on
-/// workers that may run it.
+/// Returns the rack with the most free cores among those with room for `tasks` tasks of a
+/// step on workers that may run it.
 pub(super) fn best_rack(
     pool: &[Candidate],
     step: &Step,
@@ -107,10 +111,10 @@
 ) -> Option<String> {
     let mut racks: BTreeMap<&str, (usize, u64)> = BTreeMap::new();
     for candidate in pool.iter().filter(|c| may_run(c)) {
-        let places = candidate.places(step);
-        if let Some(rack) = candidate.rack.filter(|_| places > 0) {
+        let fitting = candidate.tasks_that_fit(step);
+        if let Some(rack) = candidate.rack.filter(|_| fitting > 0) {
             let (all, free) = racks.entry(rack).or_default();
-            *all = all.saturating_add(places);
+            *all = all.saturating_add(fitting);
             *free += u64::from(candidate.free.cpu_milli);
         }
     }
@@ -119,19 +123,19 @@
     best.map(|(rack, _)| rack.to_owned())
 }
 
-/// Whether the workers of a rack would have room for so many tasks of a step once all that
-/// ends by itself has ended there.
-pub(super) fn a_rack_could_hold(
+/// Returns whether the workers of any rack could hold `tasks` tasks of a step once all
+/// their runs that are not lasting have ended.
+pub(super) fn any_rack_could_hold(
     pool: &[Candidate],
     step: &Step,
     tasks: usize,
-    may_ever: impl Fn(&Candidate) -> bool,
+    could_run: impl Fn(&Candidate) -> bool,
 ) -> bool {
     let mut racks: BTreeMap<&str, usize> = BTreeMap::new();
-    for candidate in pool.iter().filter(|c| may_ever(c)) {
+    for candidate in pool.iter().filter(|c| could_run(c)) {
         if let Some(rack) = candidate.rack {
             let all = racks.entry(rack).or_default();
-            *all = all.saturating_add(candidate.places_in(&candidate.room, step));
+            *all = all.saturating_add(candidate.tasks_that_fit_in(&candidate.transient_room, step));
         }
     }
     racks.into_values().any(|all| all >= tasks)
--- a/src/control/decision.rs
+++ b/src/control/decision.rs
@@ -16,7 +16,7 @@
     RunEnded(Ending),
     /// A run stood still and starts anew.
     #[display("run-stood-still")]
-    StoodStill,
+    RunStalled,
     /// A worker's leases ran out.
     #[display("worker-lapsed")]
     WorkerLapsed,
--- a/src/control/node/applied.rs
+++ b/src/control/node/applied.rs
@@ -127,7 +127,7 @@
                 if let Some(job) = self.state.job(*job)
                     && counts_as_size(job)
                 {
-                    lead.scheduler.arrived(job, estimates);
+                    lead.scheduler.record_arrival(job, estimates);
                 }
             }
             Change::ConfigurePart(_)
--- a/src/control/node/lead.rs
+++ b/src/control/node/lead.rs
@@ -126,7 +126,7 @@
             scheduler.touch(job.id);
             if counts_as_size(job) {
                 let estimates = self.state.history().estimates();
-                scheduler.arrived(job, estimates);
+                scheduler.record_arrival(job, estimates);
             }
         }
         self.lead = Some(Box::new(Lead {
--- a/src/control/node/orders.rs
+++ b/src/control/node/orders.rs
@@ -394,7 +394,7 @@
         let Some(lead) = &mut self.lead else {
             return;
         };
-        for (step, mut workers) in lead.scheduler.take_unadvised() {
+        for (step, mut workers) in lead.scheduler.take_missing_advice() {
             let asked = lead.questions.values().any(|(s, ..)| *s == step);
             if asked || lead.questions.len() >= QUESTIONS_MAX {
                 continue;
--- a/src/control/node/pass.rs
+++ b/src/control/node/pass.rs
@@ -39,7 +39,7 @@
         if starts_max > 0 {
             let closed = lead.upkeep.closed().chain(lead.capacity.closed());
             lead.scheduler.closed = closed.cloned().collect();
-            lead.scheduler.due = Upkeep::due(&self.state);
+            lead.scheduler.upkeep_due = Upkeep::due(&self.state);
             starts = lead.scheduler.pass(now_ms, &world, starts_max);
         }
         self.looked += std::mem::take(&mut lead.scheduler.looked);
--- a/src/control/node/renewals.rs
+++ b/src/control/node/renewals.rs
@@ -2,7 +2,7 @@
 
 use super::super::{
     Change, Decision, Effect, Ended, OrderKind, OrderOutcome, Placement, Rejection, RunPhase,
-    Running, Throttle, stands_still,
+    Running, Throttle, is_stalled,
 };
 use super::Node;
 use super::lead::Waiter;
@@ -196,12 +196,12 @@
             if !running || step.best_effort || step.gang || (step.lasting && view.percent >= 100) {
                 continue;
             }
-            if stands_still(now_ms, view, &self.settings.policy.runs) {
+            if is_stalled(now_ms, view, &self.settings.policy.runs) {
                 tracing::info!(
                     %task, attempt, %worker, percent = view.percent,
                     "task: it stands still and starts anew"
                 );
-                self.out.push(Effect::Count(Decision::StoodStill));
+                self.out.push(Effect::Count(Decision::RunStalled));
                 want_stop(now_ms, Some(view));
                 still += 1;
             }
--- a/src/control/step_place.rs
+++ b/src/control/pending_step.rs
@@ -5,45 +5,46 @@
 use crate::jobs::{Job, Occurrence, TaskId};
 use crate::model::InstanceName;
 
-/// A step of an occurrence of a job, and what the scheduler asks of it.
-pub(super) struct StepPlace<'a> {
+/// A step of a job's occurrence with the tasks that are to be placed.
+pub(super) struct PendingStep<'a> {
     pub(super) job: &'a Job,
-    pub(super) k: u32,
+    pub(super) occurrence_index: u32,
     pub(super) step: usize,
     pub(super) occurrence: &'a Occurrence,
-    /// The tasks that wait and of which no start is on its way.
+    /// Indices of the tasks that wait and have no proposed start.
     pub(super) waiting: Vec<u16>,
 }
 
-impl<'a> StepPlace<'a> {
-    /// The step of an entry, if it is there, beside the starts that are on their way.
+impl<'a> PendingStep<'a> {
+    /// Returns the step of a backlog entry, if the state still has it, without the tasks
+    /// whose starts are proposed already.
     pub(super) fn find(
         state: &'a State,
         entry: Entry,
         proposed: &BTreeMap<TaskId, Placement>,
     ) -> Option<Self> {
         let job = state.job(entry.job)?;
-        let mut place = Self {
+        let mut pending = Self {
             job,
-            k: entry.occurrence,
+            occurrence_index: entry.occurrence,
             step: usize::from(entry.step),
             occurrence: job.occurrence(entry.occurrence)?,
             waiting: Vec::new(),
         };
-        place.waiting = place.waiting_beside(proposed);
-        Some(place)
+        pending.waiting = pending.waiting_tasks(proposed);
+        Some(pending)
     }
 
     pub(super) fn task(&self, index: u16) -> TaskId {
         TaskId {
             job: self.job.id,
-            occurrence: self.k,
+            occurrence: self.occurrence_index,
             step: self.step as u16,
             index,
         }
     }
 
-    fn waiting_beside(&self, proposed: &BTreeMap<TaskId, Placement>) -> Vec<u16> {
+    fn waiting_tasks(&self, proposed: &BTreeMap<TaskId, Placement>) -> Vec<u16> {
         let tasks = self.occurrence.step(self.step).iter().enumerate();
         let waiting: Vec<u16> = tasks
             .filter(|(_, task)| task.is_waiting())
@@ -51,20 +52,21 @@
             .filter(|index| !proposed.contains_key(&self.task(*index)))
             .collect();
         let step = &self.job.spec.steps[self.step];
-        // A gang starts whole or not at all.
+        // A gang starts as a whole or not at all.
         if step.gang && waiting.len() < usize::from(step.tasks) {
             return Vec::new();
         }
         waiting
     }
 
-    pub(super) fn gang_attempt(&self) -> u32 {
+    /// Returns the attempt number that all tasks of a gang share at its next start.
+    pub(super) fn next_gang_attempt(&self) -> u32 {
         let tasks = self.occurrence.step(self.step).iter();
         tasks.map(|t| t.attempt).max().unwrap_or(0) + 1
     }
 
-    /// Runs of the step on each worker.
-    pub(super) fn counts(
+    /// Counts the runs and proposed starts of the step on each worker.
+    pub(super) fn runs_by_worker(
         &self,
         proposed: &BTreeMap<TaskId, Placement>,
     ) -> BTreeMap<InstanceName, u16> {
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -1,98 +1,100 @@
-//! Where tasks go: a pass over what waits and what is free.
+//! The scheduler: assigns waiting tasks to workers with free room.
 //!
-//! Answers mixed work on workers of limited room. A task goes only where it fits
-//! beside everything that may still run there, stops included; lasting tasks are
-//! spread, and those that serve users are kept apart from best-effort ones, which
-//! slow them down by amounts that nobody declares.
+//! Workers run mixed loads on limited room. A task is placed only where it fits beside
+//! every run that may still be there, including runs that are being stopped. Lasting
+//! tasks are spread over workers. Tasks that serve users are kept apart from best-effort
+//! tasks, which slow them down by an amount that no caller declares.
 //!
-//! Answers also a backlog that no pool has room for: a pass looks at what may start, not
-//! at all that waits. Pools take turns at the starts that may be on their way, whatever
-//! the priorities of their queues: those order work that competes for the same workers,
-//! and a pool with idle ones would wait for starts that others' workers take.
+//! When the backlog exceeds the room of every pool, a scheduling pass visits only the
+//! steps that may start, not the whole backlog. Pools take turns at the limited number of
+//! starts in flight, regardless of the priorities of their queues: a priority orders only
+//! work that competes for the same workers, and otherwise a pool with idle workers would
+//! wait while the starts of other pools use up the limit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::backlog::{Backlog, BacklogWorld};
-use super::candidate::{Candidate, a_rack_could_hold, best_rack};
+use super::candidate::{Candidate, any_rack_could_hold, best_rack};
+use super::pending_step::PendingStep;
 use super::pool_pass::{PoolPass, Stage};
-use super::step_place::StepPlace;
-use super::{Estimates, Fleet, PlacementPolicy, Policy, Queue, RunLoad, Shares, Sizes, State};
+use super::{Estimates, Fleet, PlacementPolicy, Policy, Queue, RunLoad, SizeShares, Sizes, State};
 use crate::jobs::{Job, JobId, TaskId};
 use crate::model::{InstanceName, PoolName};
 
-/// Steps that are noted in a pass to ask the advisor about: a few questions are open at
-/// once, and as many that come first may be asked about already.
-const UNADVISED_MAX: usize = 16;
+/// Maximum number of steps per pass to request advice for. Only a few requests are open
+/// at a time, and requests may already be open for as many of the first steps.
+const MISSING_ADVICE_MAX: usize = 16;
 
-/// A start that should be ordered.
+/// The start of a task on a worker, as decided by the scheduler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Of this task.
+    /// The task to start.
     pub task: TaskId,
-    /// The number of the start.
+    /// Number of this attempt to run the task, counted from 1.
     pub attempt: u32,
-    /// Where.
+    /// The worker that runs it.
     pub worker: InstanceName,
 }
 
-/// What the scheduler looks at.
+/// The input of a scheduling pass.
 #[derive(Clone, Copy, Debug)]
 pub struct SchedulerWorld<'a> {
     /// The replicated state.
     pub state: &'a State,
     /// The leader's links to workers.
     pub fleet: &'a Fleet,
-    /// How long tasks take.
+    /// Learned run times of tasks.
     pub estimates: &'a Estimates,
-    /// The weights.
+    /// The policy that is in force.
     pub policy: &'a Policy,
 }
 
-/// What the scheduler must know beside state and links.
+/// The scheduler's own state, beside the replicated state and the links to workers.
 #[derive(Debug, Default)]
 pub struct Scheduler {
-    /// Starts that are on their way into the log.
+    /// Starts that are proposed to the log and not yet applied.
     pub(super) proposed: BTreeMap<TaskId, Placement>,
-    /// Machines that are being emptied.
+    /// Workers that are being drained and get no new tasks.
     pub(super) closed: BTreeSet<InstanceName>,
-    /// Machines that are due for upkeep: lasting tasks had better not go there.
-    pub(super) due: BTreeSet<InstanceName>,
-    /// Tickets by step (job, occurrence, step, index 0) and worker.
+    /// Workers whose machines are due for upkeep: lasting tasks preferably go elsewhere.
+    pub(super) upkeep_due: BTreeSet<InstanceName>,
+    /// The advisor's tickets by step (its task with index 0) and worker.
     pub(super) tickets: BTreeMap<TaskId, BTreeMap<InstanceName, Ticket>>,
-    /// Which jobs are large in their queues.
+    /// The jobs that are large by the measure of their queues.
     pub(super) sizes: Sizes,
-    /// Steps whose advice is missing, with the workers to ask about, as they come in the
-    /// order of what waits.
-    unadvised: Vec<(TaskId, Vec<InstanceName>)>,
-    /// What waits.
+    /// Steps without valid advice and the workers to ask about, in backlog order.
+    missing_advice: Vec<(TaskId, Vec<InstanceName>)>,
+    /// The steps that wait to be placed.
     backlog: Backlog,
-    /// The pool whose turn is first in the next pass.
-    turn: usize,
-    /// What passes walked over: jobs, steps that wait, and each search for room.
+    /// Number of passes so far; rotates which pool goes first.
+    rotation: usize,
+    /// Number of items visited by passes (jobs, waiting steps and searches for a worker),
+    /// as a measure of the processor time spent.
     pub(super) looked: u64,
 }
 
-/// The advisor's word on a worker for a step.
+/// The advisor's decision about a worker for a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Ticket {
-    /// None if the worker may not run the step.
+    /// The permission to pass on to the worker; `None` if the advisor denied it.
     pub(super) text: Option<String>,
-    /// Up to when it holds.
+    /// Time at which the decision expires.
     pub(super) until_ms: u64,
 }
 
 impl Scheduler {
-    /// A job came whose size counts among those of its queue.
-    pub fn arrived(&mut self, job: &Job, estimates: &Estimates) {
-        self.sizes.arrived(job, estimates);
+    /// Records the size of a job that has arrived, to tell which jobs of its queue are
+    /// large.
+    pub fn record_arrival(&mut self, job: &Job, estimates: &Estimates) {
+        self.sizes.record_arrival(job, estimates);
     }
 
-    /// Something of a job changed: it is ranked anew.
+    /// Marks a job as changed, so that the next refresh ranks it again.
     pub fn touch(&mut self, job: JobId) {
         self.backlog.touch(job);
     }
 
-    /// Ranks anew what has to be; returns the jobs that were looked at.
+    /// Updates the ranks of changed jobs; returns the jobs that were visited.
     pub fn refresh(&mut self, now_unix_ms: u64, world: &SchedulerWorld) -> BTreeSet<JobId> {
         let world = BacklogWorld {
             state: world.state,
@@ -105,44 +107,46 @@
         looked
     }
 
-    /// The starts to order now, `starts_max` or little more. What changed since the last
-    /// [`Self::refresh`] is not seen.
+    /// Runs a scheduling pass and returns the starts to order: about `starts_max` at most,
+    /// exceeded only by a gang, which starts whole. Changes since the last
+    /// [`Self::refresh`] are not taken into account.
     pub fn pass(
         &mut self,
         now_ms: u64,
         world: &SchedulerWorld,
         starts_max: usize,
     ) -> Vec<Placement> {
-        self.unadvised.clear();
-        // Taken out for the pass, which changes the rest.
+        self.missing_advice.clear();
+        // Moved out of `self`, as the pass borrows the backlog and changes other fields.
         let mut backlog = std::mem::take(&mut self.backlog);
         let mut found = self.candidates(now_ms, world, &backlog);
         let mut pools: Vec<PoolPass> = backlog
             .pools()
-            .filter_map(|(pool, row)| {
-                let here = found.remove(pool)?;
-                Some(PoolPass::new(pool, row, here, world.policy))
+            .filter_map(|(pool, backlog)| {
+                let candidates = found.remove(pool)?;
+                Some(PoolPass::new(pool, backlog, candidates, world.policy))
             })
             .collect();
-        let starts = self.take_turns(now_ms, world, &mut pools, starts_max);
+        let starts = self.place_round_robin(now_ms, world, &mut pools, starts_max);
         let resume: Vec<_> = pools
             .iter()
             .filter_map(|pass| match pass.stage {
                 Stage::Full(reached) => Some((pass.pool.clone(), reached)),
-                Stage::Over => Some((pass.pool.clone(), [None, None])),
-                Stage::First | Stage::Rest => None,
+                Stage::Exhausted => Some((pass.pool.clone(), [None, None])),
+                Stage::FromStart | Stage::Resumed => None,
             })
             .collect();
         drop(pools);
         for (pool, reached) in resume {
-            backlog.resume_behind(&pool, reached);
+            backlog.resume_after(&pool, reached);
         }
         self.backlog = backlog;
         starts
     }
 
-    /// One step of each pool after the other, until nothing more fits or may start.
-    fn take_turns(
+    /// Places one step of each pool in turn until nothing more fits or `starts_max` is
+    /// reached.
+    fn place_round_robin(
         &mut self,
         now_ms: u64,
         world: &SchedulerWorld,
@@ -151,82 +155,83 @@
     ) -> Vec<Placement> {
         let queues = world.state.queues_by_name();
         let mut starts = Vec::new();
-        self.turn = self.turn.wrapping_add(1);
-        let mut turn = self.turn;
-        while pools.iter().any(PoolPass::is_on) {
-            turn = turn.wrapping_add(1);
-            let place = turn % pools.len();
-            let pass = &mut pools[place];
-            if !pass.is_on() {
+        self.rotation = self.rotation.wrapping_add(1);
+        let mut index = self.rotation;
+        while pools.iter().any(PoolPass::is_active) {
+            index = index.wrapping_add(1);
+            let pass_index = index % pools.len();
+            let pass = &mut pools[pass_index];
+            if !pass.is_active() {
                 continue;
             }
             if starts.len() >= starts_max {
                 break;
             }
-            let most = starts_max - starts.len();
-            starts.extend(self.place_next(now_ms, world, &queues, pass, most));
+            let starts_left = starts_max - starts.len();
+            starts.extend(self.place_next(now_ms, world, &queues, pass, starts_left));
         }
         starts
     }
 
-    /// The starts of the next step of a pool that finds room; none if no step does.
+    /// Places the next step of a pool that finds room and returns its starts; empty if no
+    /// step does.
     fn place_next(
         &mut self,
         now_ms: u64,
         world: &SchedulerWorld,
         queues: &BTreeMap<&str, &Queue>,
         pass: &mut PoolPass,
-        most: usize,
+        starts_left: usize,
     ) -> Vec<Placement> {
-        while pass.is_on() {
-            let Some((entry, waits)) = pass.order.next() else {
-                pass.stage = Stage::Over;
+        while pass.is_active() {
+            let Some((entry, demand)) = pass.steps.next() else {
+                pass.stage = Stage::Exhausted;
                 break;
             };
             self.looked += 1;
-            if !pass.largest.holds(&waits.room) {
-                pass.missed(world.policy);
+            if !pass.largest.holds(&demand.room) {
+                pass.record_miss(world.policy);
                 continue;
             }
-            let place = StepPlace::find(world.state, entry, &self.proposed);
-            let Some(place) = place.filter(|place| !place.waiting.is_empty()) else {
-                // All its starts are on their way: it lacks no room.
+            let pending = PendingStep::find(world.state, entry, &self.proposed);
+            let Some(pending) = pending.filter(|pending| !pending.waiting.is_empty()) else {
+                // All its starts are proposed already, so this is no lack of room.
                 continue;
             };
-            let queue = queues.get(place.job.queue.as_str()).copied();
+            let queue = queues.get(pending.job.queue.as_str()).copied();
             let (pool, policy) = (&mut pass.candidates, &world.policy.placement);
-            let starts = self.place_step(now_ms, &place, queue, pool, most, policy);
+            let starts = self.place_step(now_ms, &pending, queue, pool, starts_left, policy);
             if starts.is_empty() {
-                pass.missed(world.policy);
+                pass.record_miss(world.policy);
                 continue;
             }
             pass.misses = 0;
-            pass.measure();
-            // At once: a pass can come to a step twice, along its order and along the rest.
-            // Without these starts it would place the same tasks again, and beside them more
-            // on a worker than the step allows.
-            let on_their_way = starts.iter().map(|start| (start.task, start.clone()));
-            self.proposed.extend(on_their_way);
+            pass.update_largest();
+            // Recorded at once, because a pass may visit a step twice: from the start of the
+            // backlog and again after resuming. Otherwise the second visit would place the
+            // same tasks again, and more on a worker than the step's limit allows.
+            let proposed = starts.iter().map(|start| (start.task, start.clone()));
+            self.proposed.extend(proposed);
             return starts;
         }
         Vec::new()
     }
 
-    /// The workers that may get work, and what runs, of each pool in which something
-    /// waits.
+    /// Returns, for each pool with waiting steps, the workers that take work and the cores
+    /// in use by small and large jobs.
     fn candidates<'a>(
         &self,
         now_ms: u64,
         world: &SchedulerWorld<'a>,
         backlog: &Backlog,
-    ) -> BTreeMap<&'a PoolName, (Vec<Candidate<'a>>, Shares)> {
+    ) -> BTreeMap<&'a PoolName, (Vec<Candidate<'a>>, SizeShares)> {
         let (state, fleet) = (world.state, world.fleet);
         let proposed = self.proposed_loads(state);
-        let mut pools: BTreeMap<&PoolName, (Vec<Candidate>, Shares)> = BTreeMap::new();
+        let mut pools: BTreeMap<&PoolName, (Vec<Candidate>, SizeShares)> = BTreeMap::new();
         for (name, worker, link) in fleet.linked(state) {
             let usable = link.takes_work(now_ms) && worker.takes_work();
             let pool = &worker.report.pool;
-            if !usable || !backlog.waits_in(pool) || self.closed.contains(name) {
+            if !usable || !backlog.has_waiting(pool) || self.closed.contains(name) {
                 continue;
             }
             let mut used = *link.runs.used();
@@ -234,25 +239,25 @@
                 used = used.plus(load);
             }
             let (candidates, running) = pools.entry(pool).or_default();
-            running.has(false, used.cpu_milli[0] as f64 / 1_000.0);
-            running.has(true, used.cpu_milli[1] as f64 / 1_000.0);
+            running.add_running(false, used.cpu_milli[0] as f64 / 1_000.0);
+            running.add_running(true, used.cpu_milli[1] as f64 / 1_000.0);
             candidates.push(Candidate {
                 name,
                 rack: worker.report.rack.as_ref().map(|r| r.as_str()),
                 labels: &worker.report.labels,
-                room: worker.report.capacity.less(&used.lasting_room()),
+                transient_room: worker.report.capacity.less(&used.lasting_room()),
                 free: worker.report.capacity.less(&used.reserved),
                 serving: used.serving,
                 best_effort: used.best_effort,
-                due: self.due.contains(name),
+                upkeep_due: self.upkeep_due.contains(name),
                 failures: link.failures(),
-                here: 0,
+                step_runs: 0,
             });
         }
         pools
     }
 
-    /// What starts on their way into the log take of each worker.
+    /// Returns the room that proposed starts take of each worker.
     fn proposed_loads(&self, state: &State) -> BTreeMap<InstanceName, RunLoad> {
         let mut loads: BTreeMap<InstanceName, RunLoad> = BTreeMap::new();
         for start in self.proposed.values() {
@@ -262,7 +267,7 @@
         loads
     }
 
-    /// What a run of a task takes of its worker.
+    /// Returns what a run of a task takes of its worker.
     pub(super) fn load_of(&self, state: &State, task: TaskId) -> RunLoad {
         let job = state.job(task.job);
         let step = job.and_then(|job| job.spec.steps.get(usize::from(task.step)));
@@ -271,45 +276,45 @@
         })
     }
 
-    /// The starts of the waiting tasks of a step that find room, `most` at most; a gang starts whole,
-    /// whatever its size, or not at all.
+    /// Places the waiting tasks of a step that find room, at most `starts_left` of them. A
+    /// gang is placed whole, whatever its size, or not at all.
     fn place_step(
         &mut self,
         now_ms: u64,
-        place: &StepPlace,
+        pending: &PendingStep,
         queue: Option<&Queue>,
         pool: &mut [Candidate],
-        most: usize,
+        starts_left: usize,
         policy: &PlacementPolicy,
     ) -> Vec<Placement> {
         self.looked += 1;
-        let step = &place.job.spec.steps[place.step];
+        let step = &pending.job.spec.steps[pending.step];
         let demand = step.reserved();
         if !pool.iter().any(|c| c.free.holds(&demand)) {
             return Vec::new();
         }
         let advised = queue.is_some_and(|q| q.advice.is_some());
-        if advised && !self.is_advised(now_ms, place, pool) {
+        if advised && !self.is_advised(now_ms, pending, pool) {
             return Vec::new();
         }
         if step.per_worker_max.is_some() || step.lasting {
-            let counts = place.counts(&self.proposed);
+            let counts = pending.runs_by_worker(&self.proposed);
             for candidate in pool.iter_mut() {
-                candidate.here = counts.get(candidate.name).copied().unwrap_or(0);
+                candidate.step_runs = counts.get(candidate.name).copied().unwrap_or(0);
             }
         }
-        let tickets = self.tickets.get(&place.task(0)).filter(|_| advised);
+        let tickets = self.tickets.get(&pending.task(0)).filter(|_| advised);
         let may_run = |c: &Candidate| !advised || is_allowed(now_ms, tickets, c.name);
-        let waiting = &place.waiting;
+        let waiting = &pending.waiting;
         let rack = match (step.rack_local, step.gang) {
             (false, _) => None,
             (true, false) => best_rack(pool, step, 1, may_run),
             (true, true) => {
                 let rack = best_rack(pool, step, waiting.len(), may_run);
-                // On several racks it is slower: it waits, but not for a rack that is too
-                // small for it.
-                let may_ever = |c: &Candidate| !advised || !is_refused(now_ms, tickets, c.name);
-                if rack.is_none() && a_rack_could_hold(pool, step, waiting.len(), may_ever) {
+                // A gang runs slower across several racks, so it waits for one rack unless
+                // every rack is too small for it.
+                let could_run = |c: &Candidate| !advised || !is_denied(now_ms, tickets, c.name);
+                if rack.is_none() && any_rack_could_hold(pool, step, waiting.len(), could_run) {
                     return Vec::new();
                 }
                 rack
@@ -317,27 +322,31 @@
         };
         let may_take = |c: &Candidate| {
             c.free.holds(&demand)
-                && c.suits(step)
+                && c.meets_constraints(step)
                 && may_run(c)
                 && (!step.gang || rack.is_none() || c.rack == rack.as_deref())
         };
         if step.gang {
-            // A part of a gang would wait in vain for the rest. Its places are counted
-            // first: tried out task by task and taken back, a gang that finds no room costs
-            // a walk of all workers for each of its tasks, in every pass.
+            // A part of a gang would wait in vain for the rest. Counting free places first
+            // is cheaper than placing tentatively and rolling back, which for a gang that
+            // does not fit scans all workers once per task in every pass.
             let free = pool.iter().filter(|c| may_take(c));
-            let places: usize = free.map(|c| c.places(step)).sum();
-            if places < waiting.len() {
+            let fitting: usize = free.map(|c| c.tasks_that_fit(step)).sum();
+            if fitting < waiting.len() {
                 return Vec::new();
             }
         }
-        let most = if step.gang { waiting.len() } else { most };
-        let together = place.gang_attempt();
+        let starts_left = if step.gang {
+            waiting.len()
+        } else {
+            starts_left
+        };
+        let gang_attempt = pending.next_gang_attempt();
         let mut starts = Vec::new();
-        for index in waiting.iter().take(most) {
+        for index in waiting.iter().take(starts_left) {
             self.looked += 1;
-            let task = place.task(*index);
-            let own = place.occurrence.task(task.step, *index);
+            let task = pending.task(*index);
+            let own = pending.occurrence.task(task.step, *index);
             let avoid = own.and_then(|t| t.failed_on.as_ref());
             let free = pool.iter_mut().filter(|c| may_take(c));
             let costs = free.map(|c| (c.cost(step, avoid, rack.as_deref(), policy), c));
@@ -345,24 +354,24 @@
             let Some((_, best)) = best else {
                 break;
             };
-            best.take(step);
-            best.here += 1;
+            best.reserve(step);
+            best.step_runs += 1;
             let attempt = own.map_or(0, |t| t.attempt) + 1;
             starts.push(Placement {
                 task,
-                attempt: if step.gang { together } else { attempt },
+                attempt: if step.gang { gang_attempt } else { attempt },
                 worker: best.name.clone(),
             });
         }
         starts
     }
 
-    /// Whether the advisor's word on enough workers is at hand; else notes what to
-    /// ask.
-    fn is_advised(&mut self, now_ms: u64, place: &StepPlace, pool: &[Candidate]) -> bool {
-        let key = place.task(0);
+    /// Returns whether the advisor allows the step on any worker, and records the workers
+    /// for which advice is missing or has expired.
+    fn is_advised(&mut self, now_ms: u64, pending: &PendingStep, pool: &[Candidate]) -> bool {
+        let key = pending.task(0);
         let tickets = self.tickets.get(&key);
-        if self.unadvised.len() < UNADVISED_MAX {
+        if self.missing_advice.len() < MISSING_ADVICE_MAX {
             let known = |name| tickets.and_then(|t| t.get(name));
             let unknown: Vec<InstanceName> = pool
                 .iter()
@@ -370,21 +379,21 @@
                 .map(|c| c.name.clone())
                 .collect();
             if !unknown.is_empty() {
-                self.unadvised.push((key, unknown));
+                self.missing_advice.push((key, unknown));
             }
         }
         pool.iter().any(|c| is_allowed(now_ms, tickets, c.name))
     }
 
-    /// The steps whose advice the last pass missed, the first in the order of what waits
-    /// first, and the workers to ask about. While more come than the advisor can answer,
-    /// what is asked in another order has its turn by chance or never.
-    pub(super) fn take_unadvised(&mut self) -> Vec<(TaskId, Vec<InstanceName>)> {
-        std::mem::take(&mut self.unadvised)
+    /// Takes the steps for which the last pass found no valid advice, in backlog order, and
+    /// the workers to ask about. The order matters: when the advisor cannot keep up, steps
+    /// that are asked about in another order may never get an answer.
+    pub(super) fn take_missing_advice(&mut self) -> Vec<(TaskId, Vec<InstanceName>)> {
+        std::mem::take(&mut self.missing_advice)
     }
 
-    /// Takes the advisor's word on a step: tickets for the allowed workers, and the
-    /// lasting knowledge that the others are not.
+    /// Stores the advisor's answer for a step: tickets for the allowed workers, and a
+    /// denial for `refusal_ms` for the other workers that were asked about.
     pub(super) fn take_advice(
         &mut self,
         now_ms: u64,
@@ -412,8 +421,8 @@
     }
 }
 
-/// Whether the advisor said that a worker may not run a step.
-fn is_refused(
+/// Returns whether a valid answer of the advisor denies the step on a worker.
+fn is_denied(
     now_ms: u64,
     tickets: Option<&BTreeMap<InstanceName, Ticket>>,
     name: &InstanceName,
@@ -423,6 +432,7 @@
         .is_some_and(|t| t.text.is_none() && now_ms < t.until_ms)
 }
 
+/// Returns whether a valid ticket allows the step on a worker.
 fn is_allowed(
     now_ms: u64,
     tickets: Option<&BTreeMap<InstanceName, Ticket>>,
--- a/src/control/pool_pass.rs
+++ b/src/control/pool_pass.rs
@@ -1,63 +1,64 @@
-use super::backlog::{Entry, Order, Row};
+use super::backlog::{Entry, PoolBacklog, RankedSteps};
 use super::candidate::Candidate;
-use super::{Policy, Shares};
+use super::{Policy, SizeShares};
 use crate::jobs::Room;
 use crate::model::PoolName;
 
-/// Steps in a row that find no room before a pool counts as full in a pass: first from
-/// the beginning of its order, then from where the last pass ended, so that a step that
-/// finds room is come to behind any number that find none.
-const MISSES_MAX: usize = 96;
+/// Number of consecutive steps without room after which a pass stops searching a pool. It
+/// first searches from the start of the backlog, then resumes where the last pass stopped,
+/// so that a step with room is reached behind any number of steps without.
+const MISSES_IN_A_ROW_MAX: usize = 96;
 
-/// One pool in a pass.
+/// The progress of a scheduling pass in one pool.
 pub(super) struct PoolPass<'a> {
     pub(super) pool: &'a PoolName,
-    row: &'a Row,
-    running: Shares,
-    pub(super) order: Order<'a>,
+    backlog: &'a PoolBacklog,
+    running: SizeShares,
+    pub(super) steps: RankedSteps<'a>,
     pub(super) candidates: Vec<Candidate<'a>>,
-    /// No candidate has more of any kind.
+    /// The largest free amount of each resource among the candidates.
     pub(super) largest: Room,
-    /// Steps in a row that found no room.
+    /// Consecutive steps that found no room.
     pub(super) misses: usize,
     pub(super) stage: Stage,
 }
 
-/// How far a pool's part of a pass is.
+/// Stage of a pass in one pool.
 pub(super) enum Stage {
-    /// Along its order.
-    First,
-    /// Along what the last passes did not come to.
-    Rest,
-    /// Nothing more fits; the rest goes on behind these entries in the next pass.
+    /// Walks the backlog from its start.
+    FromStart,
+    /// Walks on from where the last pass stopped.
+    Resumed,
+    /// Nothing more fits; the next pass resumes after these entries of small and large
+    /// jobs.
     Full([Option<Entry>; 2]),
-    /// All was looked at.
-    Over,
+    /// The whole backlog was visited.
+    Exhausted,
 }
 
 impl<'a> PoolPass<'a> {
     pub(super) fn new(
         pool: &'a PoolName,
-        row: &'a Row,
-        (candidates, running): (Vec<Candidate<'a>>, Shares),
+        backlog: &'a PoolBacklog,
+        (candidates, running): (Vec<Candidate<'a>>, SizeShares),
         policy: &Policy,
     ) -> Self {
         let mut pass = Self {
             pool,
-            row,
+            backlog,
             running,
-            order: Order::new(row, running, &policy.order),
+            steps: RankedSteps::new(backlog, running, &policy.order),
             candidates,
             largest: Room::default(),
             misses: 0,
-            stage: Stage::First,
+            stage: Stage::FromStart,
         };
-        pass.measure();
+        pass.update_largest();
         pass
     }
 
-    /// Works out anew what no candidate exceeds.
-    pub(super) fn measure(&mut self) {
+    /// Recomputes `largest` from the free room of the candidates.
+    pub(super) fn update_largest(&mut self) {
         let rooms = self.candidates.iter().map(|c| c.free);
         self.largest = rooms.fold(Room::default(), |most, free| Room {
             cpu_milli: most.cpu_milli.max(free.cpu_milli),
@@ -66,23 +67,24 @@
         });
     }
 
-    /// A step found no room.
-    pub(super) fn missed(&mut self, policy: &Policy) {
+    /// Records that a step found no room, and moves to the next stage after
+    /// [`MISSES_IN_A_ROW_MAX`] of them.
+    pub(super) fn record_miss(&mut self, policy: &Policy) {
         self.misses += 1;
-        if self.misses < MISSES_MAX {
+        if self.misses < MISSES_IN_A_ROW_MAX {
             return;
         }
         self.misses = 0;
         self.stage = match self.stage {
-            Stage::First => {
-                self.order = Order::resumed(self.row, self.running, &policy.order);
-                Stage::Rest
+            Stage::FromStart => {
+                self.steps = RankedSteps::resumed(self.backlog, self.running, &policy.order);
+                Stage::Resumed
             }
-            Stage::Rest | Stage::Full(_) | Stage::Over => Stage::Full(self.order.reached()),
+            Stage::Resumed | Stage::Full(_) | Stage::Exhausted => Stage::Full(self.steps.reached()),
         };
     }
 
-    pub(super) fn is_on(&self) -> bool {
-        matches!(self.stage, Stage::First | Stage::Rest)
+    pub(super) fn is_active(&self) -> bool {
+        matches!(self.stage, Stage::FromStart | Stage::Resumed)
     }
 }
--- a/src/control/queue.rs
+++ b/src/control/queue.rs
@@ -2,53 +2,53 @@
 
 use crate::model::PoolName;
 
-/// A queue: where jobs are handed in and which pool runs them.
+/// A queue: the address at which callers submit jobs, and the pool that runs them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Its name.
+    /// Unique name of the queue.
     pub name: String,
-    /// The host under which callers know it.
+    /// Host name at which callers reach the queue.
     pub host: String,
-    /// The beginning of its paths.
+    /// Prefix of the request paths that belong to the queue.
     pub path_prefix: String,
     /// The pool that runs its jobs.
     pub pool: PoolName,
-    /// 0 comes first.
+    /// Priority of its jobs; 0 is the highest.
     pub priority: u32,
-    /// How often a task may fail.
+    /// Number of failures of a task after which its job fails.
     pub attempts_max: u32,
-    /// How many times its longest chain a job may take.
+    /// Multiple of its longest chain of run times that a job may take to be on time.
     pub slack_factor: f64,
-    /// What a job may take on top of that.
+    /// Time that a job may take on top of that.
     pub target_latency_ms: u64,
-    /// How long a call may take.
+    /// Timeout of a call.
     pub timeout_ms: u64,
-    /// Set if an advisor has to allow the placements.
+    /// Set if an advisor must allow the placements of the queue's tasks.
     pub advice: Option<Advice>,
 }
 
-/// Up to so many times its objective a job is still worth something to its caller.
+/// Multiple of its objective up to which a job is still of use to its caller.
 const LATE_FACTOR: f64 = 3.0;
 
 impl Queue {
-    /// How long a job with such a chain of run times may take to be on time.
+    /// Returns how long a job with this longest chain of run times may take to be on time.
     pub fn objective_ms(&self, chain_ms: u64) -> f64 {
         self.slack_factor * chain_ms as f64 + self.target_latency_ms as f64
     }
 
-    /// How long a job with such a chain may take to be worth anything.
+    /// Returns the time after which the result of such a job is of no use to its caller.
     pub fn worthless_ms(&self, chain_ms: u64) -> f64 {
         self.objective_ms(chain_ms) * LATE_FACTOR
     }
 }
 
-/// The pace of the advisor that has to allow a queue's placements.
+/// Response times of the advisor that must allow a queue's placements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Advice {
-    /// How long an answer takes.
+    /// Time that an answer takes.
     pub decision_ms: u64,
-    /// How much longer for each worker asked about.
+    /// Additional time for each worker in the request.
     pub per_worker_ms: u64,
-    /// How long a ticket holds.
+    /// Validity of a ticket.
     pub validity_ms: u64,
 }
--- a/src/control/ranking.rs
+++ b/src/control/ranking.rs
@@ -1,60 +1,60 @@
-//! Which job comes first when a pool has room for few.
+//! The order of jobs when a pool has room for only some of them.
 //!
-//! Answers demand that rises to several times a pool's room for some seconds. First
-//! come, first served makes every job late then: each waits behind all before it,
-//! and the room goes to jobs that are worth little by the time they end. Here a job
-//! that can still be on time goes before one that cannot, and among those that can
-//! the one with the least work left goes first, as it frees its room soonest; so
-//! the jobs that lose are few and large instead of all.
+//! Demand may rise to several times a pool's room for some seconds. In first-come,
+//! first-served order every job is then late: each waits behind all jobs before it, and
+//! the room goes to jobs that are worth little by the time they end. Instead, a job that
+//! can still be on time goes before one that cannot, and among equals the job with the
+//! least work left goes first, as it frees its room soonest. The jobs that lose are then
+//! few and large.
 
 use std::cmp::Ordering;
 
 use super::{OrderPolicy, Queue};
 use crate::jobs::Job;
 
-/// The place of a job in the order; the smallest comes first.
+/// Sort key of a job in the backlog; the smallest comes first.
 #[derive(Clone, Copy, Debug)]
 pub struct Rank {
     class: Class,
-    /// Within the class.
+    /// Order within the class.
     key: f64,
 }
 
-/// Which jobs a job competes with; the smallest comes first.
+/// Priority class of a job; the smallest comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Class {
     /// The queue's priority.
     priority: u32,
-    chance: Chance,
+    timeliness: Timeliness,
 }
 
-/// What a job can still be worth to its caller.
+/// Whether a job can still end in time to be of use to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Chance {
-    /// It lasts, and earns at any time.
+enum Timeliness {
+    /// The job runs until it is cancelled, and is of use at any time.
     Lasting,
-    /// It can be on time.
+    /// It can still end within its objective.
     OnTime,
-    /// It will be late.
+    /// It will end after its objective, but is still of use.
     Late,
-    /// It is worth nothing to its caller any more.
-    Hopeless,
+    /// It will end too late to be of use.
+    Worthless,
 }
 
-/// What a job has left to do.
+/// The work that remains of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Remaining {
-    /// Its longest chain of estimated run times, done or not.
+    /// Run time of its longest chain of dependent steps, including those done.
     pub chain_ms: u64,
-    /// What is left of that.
+    /// Run time of the longest chain from the step that waits.
     pub left_ms: u64,
-    /// The core-milliseconds that are left.
+    /// Core-milliseconds that remain.
     pub work: f64,
 }
 
-/// Where a job with this much left to do stands, and when time alone changes that, if it
-/// ever does.
-pub fn standing(
+/// Returns the rank of a job, and the time in milliseconds since 1970 at which the rank
+/// changes though nothing of the job does, if it ever does.
+pub fn rank_job(
     now_unix_ms: u64,
     job: &Job,
     queue: Option<&Queue>,
@@ -65,14 +65,14 @@
     if job.spec.lasts() {
         let class = Class {
             priority: 0,
-            chance: Chance::Lasting,
+            timeliness: Timeliness::Lasting,
         };
         let key = job.accepted_unix_ms as f64;
         return (Rank { class, key }, None);
     }
-    let (chance, until_unix_ms) = match policy.by_class {
-        true => chance(now_unix_ms, queue, due_unix_ms, remaining),
-        false => (Chance::OnTime, None),
+    let (timeliness, until_unix_ms) = match policy.by_class {
+        true => timeliness(now_unix_ms, queue, due_unix_ms, remaining),
+        false => (Timeliness::OnTime, None),
     };
     let key = match policy.least_work {
         true if job.placements > 0 => remaining.work * policy.begun_part,
@@ -81,18 +81,18 @@
     };
     let class = Class {
         priority: queue.map_or(u32::MAX, |q| q.priority),
-        chance,
+        timeliness,
     };
     (Rank { class, key }, until_unix_ms)
 }
 
-/// What a job can still be worth, and the first moment at which it is less.
-fn chance(
+/// Returns whether a job can be on time, and when that next gets worse.
+fn timeliness(
     now_unix_ms: u64,
     queue: Option<&Queue>,
     due_unix_ms: u64,
     remaining: &Remaining,
-) -> (Chance, Option<u64>) {
+) -> (Timeliness, Option<u64>) {
     let Remaining {
         chain_ms, left_ms, ..
     } = *remaining;
@@ -105,22 +105,22 @@
         (spare_ms.is_finite()).then(|| due_unix_ms + spare_ms as u64 + 1)
     };
     if ends_ms <= objective_ms {
-        (Chance::OnTime, after(objective_ms))
+        (Timeliness::OnTime, after(objective_ms))
     } else if ends_ms <= worthless_ms {
-        (Chance::Late, after(worthless_ms))
+        (Timeliness::Late, after(worthless_ms))
     } else {
-        (Chance::Hopeless, None)
+        (Timeliness::Worthless, None)
     }
 }
 
 impl Rank {
-    /// Whether two jobs stand in the same class, so that their order among each other is
-    /// a matter of shares.
-    pub fn shares_with(&self, other: &Self) -> bool {
-        self.class == other.class && self.class.chance != Chance::Lasting
+    /// Returns whether two jobs are in the same class and not lasting, so that small and
+    /// large ones among them share the room.
+    pub fn shares_room_with(&self, other: &Self) -> bool {
+        self.class == other.class && self.class.timeliness != Timeliness::Lasting
     }
 
-    /// Which jobs it competes with.
+    /// Returns the priority class.
     pub(super) fn class(&self) -> Class {
         self.class
     }
--- a/src/control/sizes.rs
+++ b/src/control/sizes.rs
@@ -1,92 +1,94 @@
-//! Shares of a pool's room for small and for large jobs.
+//! Fair shares of a pool's room for small and for large jobs.
 //!
-//! Answers overload in which the least work goes first: the large jobs of a queue then
-//! get nothing for as long as it lasts, however long their callers have waited. Here the
-//! large ones, the upper third of their queue's latest, get a part of the room that is
-//! in proportion to what they ask for, so that they are served about half as often as
-//! the small ones and not never. What one group leaves free the other takes.
+//! Under overload, ordering by least work left starves the large jobs of a queue for as
+//! long as the overload lasts. Therefore large jobs, the upper third of the recent jobs of
+//! their queue, get a share of the room in proportion to their demand, so that they are
+//! served about half as often as small ones. Room that one group leaves free goes to the
+//! other.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::Estimates;
 use crate::jobs::{Job, JobId};
 
-/// Jobs of a queue that are remembered to tell what is large there: a second or two of
-/// a turn, and enough for a quantile.
-const REMEMBERED: usize = 64;
-/// Below so many nothing is known of a queue's sizes.
-const FEWEST: usize = 10;
-/// A job is large if this part of its queue's latest are smaller.
-const SMALLER: f64 = 0.7;
+/// Number of recent jobs per queue whose sizes are kept: the arrivals of one or two seconds
+/// of a load peak, and enough for a quantile.
+const RECENT_JOBS_MAX: usize = 64;
+/// With fewer recent jobs than this no job of a queue counts as large.
+const MIN_RECENT_JOBS: usize = 10;
+/// A job is large if at least this fraction of its queue's recent jobs are smaller.
+const LARGE_QUANTILE: f64 = 0.7;
 
-/// Which jobs are large among those of their queue.
+/// The jobs that are large compared with others of their queue.
 #[derive(Debug, Default)]
 pub struct Sizes {
-    latest: BTreeMap<String, VecDeque<f64>>,
+    recent: BTreeMap<String, VecDeque<f64>>,
     large: BTreeSet<JobId>,
 }
 
 impl Sizes {
-    /// A job came.
-    pub fn arrived(&mut self, job: &Job, estimates: &Estimates) {
+    /// Records the size of a job that has arrived, by its estimated run times.
+    pub fn record_arrival(&mut self, job: &Job, estimates: &Estimates) {
         let work = job.spec.work(&estimates.run_times_ms(job));
-        self.note(&job.queue, job.id, work);
+        self.record(&job.queue, job.id, work);
     }
 
-    /// A job with this much work came.
-    pub fn note(&mut self, queue: &str, job: JobId, work: f64) {
-        let latest = self.latest.entry(queue.to_owned()).or_default();
-        let smaller = latest.iter().filter(|other| **other < work).count();
-        if latest.len() >= FEWEST && smaller as f64 >= SMALLER * latest.len() as f64 {
+    /// Records a job with this work, in core-milliseconds, and decides whether it is large.
+    pub fn record(&mut self, queue: &str, job: JobId, work: f64) {
+        let recent = self.recent.entry(queue.to_owned()).or_default();
+        let smaller = recent.iter().filter(|other| **other < work).count();
+        if recent.len() >= MIN_RECENT_JOBS && smaller as f64 >= LARGE_QUANTILE * recent.len() as f64
+        {
             self.large.insert(job);
         }
-        latest.push_back(work);
-        if latest.len() > REMEMBERED {
-            latest.pop_front();
+        recent.push_back(work);
+        if recent.len() > RECENT_JOBS_MAX {
+            recent.pop_front();
         }
     }
 
-    /// Whether a job is large.
+    /// Returns whether a job is large.
     pub fn is_large(&self, job: JobId) -> bool {
         self.large.contains(&job)
     }
 
-    /// Forgets jobs that are over.
+    /// Forgets the jobs for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(JobId) -> bool) {
         self.large.retain(|job| keep(*job));
     }
 }
 
-/// The cores that each group has, and asks for beside them.
+/// The cores that small and large jobs use, and those that they wait for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Shares {
-    has: [f64; 2],
-    asks: [f64; 2],
+pub struct SizeShares {
+    running: [f64; 2],
+    waiting: [f64; 2],
 }
 
-impl Shares {
-    /// Counts cores that run.
-    pub fn has(&mut self, large: bool, cores: f64) {
-        self.has[usize::from(large)] += cores;
+impl SizeShares {
+    /// Adds cores in use.
+    pub fn add_running(&mut self, large: bool, cores: f64) {
+        self.running[usize::from(large)] += cores;
     }
 
-    /// Counts cores that are waited for.
-    pub fn asks(&mut self, large: bool, cores: f64) {
-        self.asks[usize::from(large)] += cores;
+    /// Adds cores that waiting tasks ask for.
+    pub fn add_waiting(&mut self, large: bool, cores: f64) {
+        self.waiting[usize::from(large)] += cores;
     }
 
-    /// How much each group should have in proportion to the other; the large ones count
-    /// `large_part` of theirs.
+    /// Returns the weights by which small and large jobs share the room: their total
+    /// demand, that of large jobs multiplied by `large_part`.
     pub fn weights(&self, large_part: f64) -> [f64; 2] {
         [
-            self.has[0] + self.asks[0],
-            (self.has[1] + self.asks[1]) * large_part,
+            self.running[0] + self.waiting[0],
+            (self.running[1] + self.waiting[1]) * large_part,
         ]
     }
 
-    /// The group that has less of its weight, and so is next: 0 for the small ones.
-    pub fn group(&self, weights: [f64; 2]) -> usize {
-        let full = |group: usize| self.has[group] / weights[group].max(f64::MIN_POSITIVE);
-        usize::from(full(1) < full(0))
+    /// Returns the group that uses less in proportion to its weight and goes next: 0 for
+    /// small jobs, 1 for large ones.
+    pub fn next_group(&self, weights: [f64; 2]) -> usize {
+        let fill = |group: usize| self.running[group] / weights[group].max(f64::MIN_POSITIVE);
+        usize::from(fill(1) < fill(0))
     }
 }
--- a/src/control/stall.rs
+++ b/src/control/stall.rs
@@ -9,7 +9,7 @@
 use super::{RunView, RunsPolicy};
 
 /// Whether a run stands still.
-pub fn stands_still(now_ms: u64, view: &RunView, policy: &RunsPolicy) -> bool {
+pub fn is_stalled(now_ms: u64, view: &RunView, policy: &RunsPolicy) -> bool {
     let progress = view.progress.filter(|_| policy.still_ms > 0);
     progress.is_some_and(|p| now_ms >= p.changed_ms + policy.still_ms)
 }
--- a/tests/control/estimates.rs
+++ b/tests/control/estimates.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use rosemarygauge::control::{
-    Clock, Estimates, RunLoad, RunPhase, RunView, RunsPolicy, stands_still,
+    Clock, Estimates, RunLoad, RunPhase, RunView, RunsPolicy, is_stalled,
 };
 use rosemarygauge::jobs::{Job, JobId, Step};
 
@@ -63,10 +63,10 @@
 fn no_progress_for_long_is_a_standstill() {
     let mut view = RunView::new(RunPhase::Running { since_ms: 0 }, RunLoad::default());
     let policy = RunsPolicy::default();
-    assert!(!stands_still(10_000, &view, &policy));
+    assert!(!is_stalled(10_000, &view, &policy));
     view.progress = Some(rosemarygauge::control::Progress { changed_ms: 1_000 });
-    assert!(!stands_still(2_000, &view, &policy));
-    assert!(stands_still(2_700, &view, &policy));
+    assert!(!is_stalled(2_000, &view, &policy));
+    assert!(is_stalled(2_700, &view, &policy));
 }
 
 /// The time of day jumps forward for some seconds and back: nothing is due early.
--- a/tests/control/faults.rs
+++ b/tests/control/faults.rs
@@ -72,7 +72,7 @@
 #[test]
 fn tasks_that_stand_still_start_anew() {
     for mut world in World::both(24, 4, 1) {
-        world.worker(1_001).stands_still = true;
+        world.worker(1_001).stalls = true;
         for id in 0..8 {
             world.submit(1, "quick", 1 + id, job(vec![step(6)]));
         }
--- a/tests/control/pool.rs
+++ b/tests/control/pool.rs
@@ -69,7 +69,7 @@
             spec: Arc::new(spec),
         });
         if let Some(job) = self.state.job(JobId::from(id)) {
-            self.scheduler.arrived(job, &Estimates::default());
+            self.scheduler.record_arrival(job, &Estimates::default());
         }
     }
 
--- a/tests/control/scheduler.rs
+++ b/tests/control/scheduler.rs
@@ -5,7 +5,7 @@
 
 use rosemarygauge::control::{
     Advice, Change, Estimates, OrderPolicy, Placement, Policy, Remaining, Scheduler,
-    SchedulerWorld, State, standing,
+    SchedulerWorld, State, rank_job,
 };
 use rosemarygauge::jobs::{JobId, Step};
 
@@ -82,17 +82,17 @@
         work: 500.0,
     };
     let policy = OrderPolicy::default();
-    let at = |now| standing(now, &one, Some(&q), 0, &left, &policy).0;
-    let (on_time, late, hopeless) = (at(100), at(1_500), at(9_000));
+    let at = |now| rank_job(now, &one, Some(&q), 0, &left, &policy).0;
+    let (on_time, late, worthless) = (at(100), at(1_500), at(9_000));
     assert!(on_time.cmp(&late).is_lt());
-    assert!(late.cmp(&hopeless).is_lt());
+    assert!(late.cmp(&worthless).is_lt());
     let urgent = rosemarygauge::control::Queue {
         priority: 0,
         ..q.clone()
     };
     let patient = rosemarygauge::control::Queue { priority: 1, ..q };
-    let a = standing(9_000, &one, Some(&urgent), 0, &left, &policy).0;
-    let b = standing(0, &one, Some(&patient), 0, &left, &policy).0;
+    let a = rank_job(9_000, &one, Some(&urgent), 0, &left, &policy).0;
+    let b = rank_job(0, &one, Some(&patient), 0, &left, &policy).0;
     assert!(a.cmp(&b).is_lt());
 }
 
--- a/tests/control/sizes.rs
+++ b/tests/control/sizes.rs
@@ -1,6 +1,6 @@
 //! Shares of a pool's room for small and for large jobs.
 
-use rosemarygauge::control::{Shares, Sizes};
+use rosemarygauge::control::{SizeShares, Sizes};
 use rosemarygauge::jobs::JobId;
 
 /// As by default.
@@ -8,7 +8,7 @@
 
 /// The order in which two rows are served, each in its own order.
 fn merged<T>(
-    mut shares: Shares,
+    mut shares: SizeShares,
     small: Vec<T>,
     large: Vec<T>,
     cores: impl Fn(&T) -> f64,
@@ -17,14 +17,14 @@
     let mut rows = [small, large].map(std::collections::VecDeque::from);
     let mut merged = Vec::new();
     while rows.iter().any(|row| !row.is_empty()) {
-        let next = shares.group(weights);
+        let next = shares.next_group(weights);
         let group = if rows[next].is_empty() {
             1 - next
         } else {
             next
         };
         let first = rows[group].pop_front().unwrap();
-        shares.has(group == 1, cores(&first));
+        shares.add_running(group == 1, cores(&first));
         merged.push(first);
     }
     merged
@@ -34,14 +34,14 @@
 fn the_upper_third_of_a_queue_is_large_once_its_sizes_are_known() {
     let mut sizes = Sizes::default();
     for job in 0..30 {
-        sizes.note("quick", JobId::from(job), 10.0 + job as f64 % 10.0);
+        sizes.record("quick", JobId::from(job), 10.0 + job as f64 % 10.0);
     }
     let large = |sizes: &Sizes, job| sizes.is_large(JobId::from(job));
     assert!(!large(&sizes, 9), "nothing is known of the queue yet");
     assert!(large(&sizes, 29) && large(&sizes, 28));
     assert!(!large(&sizes, 20) && !large(&sizes, 25));
     // What is large elsewhere is not large here.
-    sizes.note("long", JobId::from(99), 1_000.0);
+    sizes.record("long", JobId::from(99), 1_000.0);
     assert!(!large(&sizes, 99));
     sizes.retain(|job| job != JobId::from(29));
     assert!(!large(&sizes, 29) && large(&sizes, 28));
@@ -52,11 +52,15 @@
 /// half as many of the large jobs are served as of the small ones.
 #[test]
 fn large_jobs_are_served_half_as_often_and_not_never() {
-    let mut shares = Shares::default();
+    let mut shares = SizeShares::default();
     let small = vec![2.0; 60];
     let large = vec![12.0; 10];
-    small.iter().for_each(|cores| shares.asks(false, *cores));
-    large.iter().for_each(|cores| shares.asks(true, *cores));
+    small
+        .iter()
+        .for_each(|cores| shares.add_waiting(false, *cores));
+    large
+        .iter()
+        .for_each(|cores| shares.add_waiting(true, *cores));
     let merged = merged(shares, small, large, |cores| *cores);
     assert_eq!(merged.len(), 70);
     let mut room = 80.0;
@@ -75,18 +79,18 @@
 /// What runs already counts: a group that has its share waits for the other.
 #[test]
 fn a_group_that_has_its_share_lets_the_other_go_first() {
-    let mut shares = Shares::default();
-    shares.has(true, 24.0);
-    shares.asks(false, 4.0);
-    shares.asks(true, 12.0);
+    let mut shares = SizeShares::default();
+    shares.add_running(true, 24.0);
+    shares.add_waiting(false, 4.0);
+    shares.add_waiting(true, 12.0);
     assert_eq!(
         merged(shares, vec!["small"], vec!["large"], |_| 4.0),
         ["small", "large"]
     );
-    let mut shares = Shares::default();
-    shares.has(false, 24.0);
-    shares.asks(false, 4.0);
-    shares.asks(true, 12.0);
+    let mut shares = SizeShares::default();
+    shares.add_running(false, 24.0);
+    shares.add_waiting(false, 4.0);
+    shares.add_waiting(true, 12.0);
     assert_eq!(
         merged(shares, vec!["small"], vec!["large"], |_| 4.0),
         ["large", "small"]
--- a/tests/control/worker.rs
+++ b/tests/control/worker.rs
@@ -40,7 +40,7 @@
     /// How late its answers come at most.
     pub answer_late_ms: u64,
     pub fails_all: bool,
-    pub stands_still: bool,
+    pub stalls: bool,
     /// Its clock runs at this part of true time, in thousandths.
     pub clock_rate: u64,
     pub clock_base_ms: u64,
@@ -74,7 +74,7 @@
             run_ms: 300,
             answer_late_ms: 0,
             fails_all: false,
-            stands_still: false,
+            stalls: false,
             clock_rate: 1_000,
             clock_base_ms: 77_000,
             born_ms: now_ms,
@@ -186,7 +186,7 @@
                 }
                 self.highest.insert(*task, *attempt);
                 let lasts = self.lasting_jobs.contains(&task.job);
-                let still = self.stands_still || lasts;
+                let still = self.stalls || lasts;
                 let run_ms = if self.fails_all { 5 } else { self.run_ms };
                 let going = Going {
                     attempt: *attempt,
@@ -253,7 +253,7 @@
             .map(|(task, going)| {
                 let lasts = self.lasting_jobs.contains(&task.job);
                 let passed_ms = now_ms - going.since_ms;
-                let percent = match (lasts, self.stands_still) {
+                let percent = match (lasts, self.stalls) {
                     (true, _) => (passed_ms / 5).min(100),
                     (false, true) => 7,
                     (false, false) => (passed_ms * 100 / self.run_ms).min(99),
