--- a/src/control/carrier.rs
+++ b/src/control/carrier.rs
@@ -1,9 +1,10 @@
-//! A follower's side of the orders that it carries out for its leader.
+//! The follower's side of carrying orders: a follower sends the leader's orders to workers
+//! and returns the outcomes.
 //!
-//! All decisions stay with the leader: a follower neither draws conclusions from an
-//! outcome nor orders anything again. What it carries belongs to one leader in one term
-//! and ends with that. Orders of an earlier one that are still held up on their way are
-//! refused by workers for their fencing token, or do nothing new.
+//! All decisions stay with the leader. A follower draws no conclusions from an outcome and
+//! repeats no order. The open orders belong to one leader in one term and are dropped when
+//! that term ends. Delayed orders of an earlier leader are rejected by the workers for their
+//! fencing token, or have no further effect.
 
 use std::collections::BTreeMap;
 
@@ -11,57 +12,58 @@
 use super::{Order, OrderOutcome, PeerMessage};
 use crate::model::EntryName;
 
-/// An order that is so much older, by the stamp that came with it, is not carried out.
+/// Age, by the stamp in the leader's message, above which an order is dropped.
 ///
-/// A message that a cut held up arrives when the cut heals, seconds after the leader has
-/// counted its orders as unanswered and given newer ones. Workers cope with such an order
-/// once; a share that is set late stays wrong. The leader waits for an outcome longer than
-/// this beyond the order's own time, so that what it counts as unanswered is over here
-/// too. A loop that is behind by a tenth of a second leaves this some room.
-pub const FRESH_MS: u64 = 500;
-/// Outcomes gather for so long, as each message costs the leader as much as reading
-/// several outcomes; a start or an end is told so much later.
-const GATHER_MS: u64 = 4;
-/// Set in the numbers that a follower gives the orders that it carries, so that they are
-/// never those of a lead of its own.
-const CARRIED: u64 = 1 << 63;
-
-/// What came of an order, by the leader's number.
-type Carried = (u64, OrderOutcome);
-
-/// The orders that a follower carries out.
+/// A message that a network partition delays arrives when the partition heals, seconds
+/// after the leader has counted its orders as unanswered and sent newer ones. Workers
+/// tolerate such a start or stop, but a share that is set late stays wrong. The leader
+/// waits for an outcome for the order's own timeout plus more than this age, so that an
+/// order it counts as unanswered is no longer open here either. The value leaves room for
+/// an event loop that is late by a tenth of a second.
+pub const ORDER_MAX_AGE_MS: u64 = 500;
+/// Time for which outcomes are batched, because each message costs the leader as much as
+/// reading several outcomes. It delays the news of a start or an end.
+const OUTCOME_BATCH_DELAY_MS: u64 = 4;
+/// Bit that is set in the ids which a follower gives to carried orders, so that they differ
+/// from the ids of the orders it gives as a leader.
+const CARRIED_ID_BIT: u64 = 1 << 63;
+
+/// The leader's id of an order, and its outcome.
+type Outcome = (u64, OrderOutcome);
+
+/// The orders that a follower carries out for its leader.
 #[derive(Debug, Default)]
 pub struct Carrier {
     carrying: Option<Carrying>,
-    drawn: u64,
-    /// A planned stop has begun.
+    last_id: u64,
+    /// Whether a planned stop has begun.
     closed: bool,
 }
 
-/// What is open for one leader.
+/// Open orders and unsent outcomes for one leader.
 #[derive(Debug)]
 struct Carrying {
     leader: EntryName,
     term: u64,
-    /// The leader's numbers by those given here.
+    /// The leader's ids of open orders by the ids given here.
     open: BTreeMap<u64, u64>,
-    outcomes: Vec<Carried>,
-    /// When the first of the outcomes was there.
-    since_ms: u64,
+    outcomes: Vec<Outcome>,
+    /// Time of the first of `outcomes`.
+    first_outcome_ms: u64,
 }
 
 impl Carrying {
-    fn add(&mut self, now_ms: u64, outcomes: impl IntoIterator<Item = Carried>) {
+    fn add(&mut self, now_ms: u64, outcomes: impl IntoIterator<Item = Outcome>) {
         if self.outcomes.is_empty() {
-            self.since_ms = now_ms;
+            self.first_outcome_ms = now_ms;
         }
         self.outcomes.extend(outcomes);
     }
 
-    /// What came of the orders so far; if the follower is about to end, a message also
-    /// without any.
+    /// Returns messages with the outcomes so far. If the follower is about to stop, there is
+    /// at least one message, even without outcomes.
     fn messages(&mut self, closing: bool) -> Vec<(EntryName, PeerMessage)> {
-        let size_bytes = |(_, outcome): &Carried| outcome.size_bytes();
+        let size_bytes = |(_, outcome): &Outcome| outcome.size_bytes();
         let mut parts = batches(std::mem::take(&mut self.outcomes), size_bytes);
         if closing && parts.is_empty() {
             parts.push(Vec::new());
@@ -77,19 +79,20 @@
 }
 
 impl Carrier {
-    /// Whether the number is one of an order that is carried out for a leader.
+    /// Returns whether the id is that of an order carried for a leader.
     pub fn is_carried(id: u64) -> bool {
-        id & CARRIED != 0
+        id & CARRIED_ID_BIT != 0
     }
 
-    /// For which leader and term orders are carried out.
+    /// Returns the leader and term for which orders are carried out.
     pub fn leader(&self) -> Option<(&EntryName, u64)> {
         let carrying = self.carrying.as_ref()?;
         Some((&carrying.leader, carrying.term))
     }
 
-    /// Takes orders of this leader, with numbers of its own; none at a planned stop.
-    pub fn take(
+    /// Accepts orders of a leader and returns them with new ids. At a planned stop, refuses
+    /// them and returns none.
+    pub fn accept(
         &mut self,
         now_ms: u64,
         leader: &EntryName,
@@ -100,28 +103,28 @@
             self.refuse(now_ms, leader, term, &orders);
             return Vec::new();
         }
-        let mut drawn = self.drawn;
-        let carrying = self.of(leader, term);
-        let mut taken = Vec::with_capacity(orders.len());
+        let mut last_id = self.last_id;
+        let carrying = self.carrying_for(leader, term);
+        let mut accepted = Vec::with_capacity(orders.len());
         for order in orders {
-            drawn += 1;
-            let id = CARRIED | drawn;
+            last_id += 1;
+            let id = CARRIED_ID_BIT | last_id;
             carrying.open.insert(id, order.id);
-            taken.push(Order { id, ..order });
+            accepted.push(Order { id, ..order });
         }
-        self.drawn = drawn;
-        taken
+        self.last_id = last_id;
+        accepted
     }
 
-    /// Tells this leader that its orders have not left.
+    /// Refuses orders of a leader: their outcome is that they were not sent.
     pub fn refuse(&mut self, now_ms: u64, leader: &EntryName, term: u64, orders: &[Order]) {
         let refused = orders.iter().map(|order| (order.id, OrderOutcome::NotSent));
-        self.of(leader, term).add(now_ms, refused);
+        self.carrying_for(leader, term).add(now_ms, refused);
     }
 
-    fn of(&mut self, leader: &EntryName, term: u64) -> &mut Carrying {
+    fn carrying_for(&mut self, leader: &EntryName, term: u64) -> &mut Carrying {
         if self.leader() != Some((leader, term)) {
-            tracing::info!(%leader, term, "carrier: begins to carry out orders");
+            tracing::info!(%leader, term, "carrier: starts carrying orders for a leader");
             self.carrying = None;
         }
         self.carrying.get_or_insert_with(|| Carrying {
@@ -129,12 +132,12 @@
             term,
             open: BTreeMap::new(),
             outcomes: Vec::new(),
-            since_ms: 0,
+            first_outcome_ms: 0,
         })
     }
 
-    /// Takes the outcome of an order; `false` if it belongs to a leader that is over.
-    pub fn carried(&mut self, now_ms: u64, id: u64, outcome: OrderOutcome) -> bool {
+    /// Records the outcome of an order; returns `false` if its leader's term has ended.
+    pub fn record_outcome(&mut self, now_ms: u64, id: u64, outcome: OrderOutcome) -> bool {
         let Some(carrying) = &mut self.carrying else {
             return false;
         };
@@ -145,18 +148,20 @@
         true
     }
 
-    /// Whether outcomes wait to be sent.
+    /// Returns whether any outcomes wait to be sent.
     pub fn has_outcomes(&self) -> bool {
         self.carrying
             .as_ref()
             .is_some_and(|c| !c.outcomes.is_empty())
     }
 
-    /// Outcomes that have gathered for long enough, and for whom.
+    /// Returns the messages with outcomes, and their receiver, once the oldest outcome has
+    /// waited for [`OUTCOME_BATCH_DELAY_MS`].
     pub fn due(&mut self, now_ms: u64) -> Vec<(EntryName, PeerMessage)> {
         match &mut self.carrying {
             Some(carrying)
-                if !carrying.outcomes.is_empty() && now_ms >= carrying.since_ms + GATHER_MS =>
+                if !carrying.outcomes.is_empty()
+                    && now_ms >= carrying.first_outcome_ms + OUTCOME_BATCH_DELAY_MS =>
             {
                 carrying.messages(self.closed)
             }
@@ -164,15 +169,15 @@
         }
     }
 
-    /// A planned stop begins: takes no more orders, and says so at once.
+    /// Begins a planned stop: no more orders are accepted, and the leader is told at once.
     pub fn close(&mut self) -> Vec<(EntryName, PeerMessage)> {
         self.closed = true;
         let carrying = self.carrying.as_mut();
         carrying.map_or_else(Vec::new, |carrying| carrying.messages(true))
     }
 
-    /// The planned stop is due: what is still open will have no outcome. Nothing if
-    /// nothing is open.
+    /// Ends a planned stop: reports all open orders as unanswered. Returns no messages if
+    /// there are neither open orders nor unsent outcomes.
     pub fn give_up(&mut self, now_ms: u64) -> Vec<(EntryName, PeerMessage)> {
         let Some(carrying) = &mut self.carrying else {
             return Vec::new();
@@ -186,12 +191,12 @@
         carrying.messages(true)
     }
 
-    /// The leader is over: nothing is carried any more. How many orders are open, if any
-    /// were carried at all.
+    /// Drops all orders because the leader's term has ended. Returns how many were open, or
+    /// `None` if no orders were carried in that term.
     pub fn end(&mut self) -> Option<usize> {
         let carrying = self.carrying.take()?;
         let (leader, open) = (&carrying.leader, carrying.open.len());
-        tracing::info!(%leader, term = carrying.term, open, "carrier: stops to carry out orders");
+        tracing::info!(%leader, term = carrying.term, open, "carrier: stops carrying orders for a leader");
         Some(open)
     }
 }
--- a/src/control/carriers.rs
+++ b/src/control/carriers.rs
@@ -1,73 +1,75 @@
-//! Which follower carries out the leader's orders to which worker.
+//! The leader's assignment of workers to the followers that carry its orders (carriers).
 //!
-//! As few followers carry orders as the fleet needs: each costs the leader messages of its
-//! own. A worker's orders go by the one of them that comes first by a hash of both names
-//! (rendezvous hashing), so that the loss of one moves few but its own workers. A follower
-//! is there while it answers the log without delay. One that gave no outcome several times
-//! in a row, or is about to end, is out for some seconds. A worker that a follower
-//! did not reach is called by the leader itself for a while, as a cut may be between those
-//! two only.
+//! The leader uses as few carriers as the fleet needs, because each costs it additional
+//! messages. Workers are assigned by rendezvous hashing of both names, so that the loss of
+//! a carrier moves few workers but its own. A follower may carry orders while it
+//! acknowledges the log without delay. A follower that repeatedly returned no outcome, or
+//! is about to stop, is excluded for some seconds. A worker that its carrier could not
+//! reach is called by the leader itself for a while, because the network may be partitioned
+//! only between those two.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use super::carrier::FRESH_MS;
+use super::carrier::ORDER_MAX_AGE_MS;
 use super::peer_message::batches;
 use super::{Order, PeerMessage};
 use crate::consensus::Stamp;
 use crate::model::{EntryName, InstanceName};
 
-/// How much longer than an order's own time its outcome is waited for: the order may be
-/// [`FRESH_MS`] old when it is begun, and the outcome needs its way back.
-const MARGIN_MS: u64 = FRESH_MS + 150;
-/// A follower that has not answered the log for so long is lost: eight heartbeats.
-const SILENT_MS: u64 = 600;
-/// One that answered no later message than this is given no orders: half of [`FRESH_MS`],
-/// beyond which it would refuse them all, so that a follower that lags never holds up a
-/// part of the fleet by its refusals. Three heartbeats.
-const LAGS_MS: u64 = FRESH_MS / 2;
-/// Orders in a row without an outcome after which a follower is taken out: single ones
-/// are lost when a link is opened anew.
-const LOSSES_MAX: u32 = 4;
-/// How long a follower is out: a restart or a short cut is over by then.
-const OUT_MS: u64 = 3_000;
-/// How long the leader calls a worker itself that a follower did not reach.
-const OWN_MS: u64 = 3_000;
-
-/// A leader's view of the followers that carry its orders.
+/// Time beyond an order's own timeout for which its outcome is awaited: the order may be
+/// [`ORDER_MAX_AGE_MS`] old when the carrier sends it, and the outcome has to travel back.
+const OUTCOME_MARGIN_MS: u64 = ORDER_MAX_AGE_MS + 150;
+/// Time without an acknowledgement of the log after which a follower counts as lost: eight
+/// heartbeats.
+const LOST_AFTER_MS: u64 = 600;
+/// Age of the latest acknowledged message above which a follower gets no orders: half of
+/// [`ORDER_MAX_AGE_MS`], or three heartbeats. A follower that lags by the whole age drops
+/// every order, which would hold up its part of the fleet.
+const MAX_LAG_MS: u64 = ORDER_MAX_AGE_MS / 2;
+/// Consecutive orders without an outcome after which a follower is excluded. Single orders
+/// are lost whenever a connection is reopened.
+const CONSECUTIVE_LOSSES_MAX: u32 = 4;
+/// Time for which a follower is excluded; most restarts and short partitions end within it.
+const EXCLUSION_MS: u64 = 3_000;
+/// Time for which the leader itself calls a worker that its carrier could not reach.
+const DIRECT_MS: u64 = 3_000;
+
+/// The leader's view of the followers that carry its orders.
 #[derive(Debug, Default)]
 pub struct Carriers {
     followers: BTreeMap<EntryName, Follower>,
-    /// Those that carry orders at present.
-    there: Vec<EntryName>,
-    /// Workers that the leader calls itself, and until when.
-    own: BTreeMap<InstanceName, u64>,
+    /// The followers that currently carry orders.
+    active: Vec<EntryName>,
+    /// Workers that the leader calls itself, and the time at which that ends.
+    direct: BTreeMap<InstanceName, u64>,
 }
 
 #[derive(Debug, Default)]
 struct Follower {
     stamp: Option<Stamp>,
-    out_until_ms: u64,
-    losses: u32,
-    /// Orders without an outcome, and when each counts as unanswered.
+    excluded_until_ms: u64,
+    consecutive_losses: u32,
+    /// Open orders, and the time at which each counts as unanswered.
     open: BTreeMap<u64, u64>,
-    /// Orders that leave with the next message.
-    waiting: Vec<Order>,
+    /// Orders for the next message.
+    unsent: Vec<Order>,
 }
 
-/// Orders that will have no outcome, and the followers taken out for that.
+/// Orders that count as unanswered, and the followers excluded for that.
 #[derive(Debug, Default)]
 pub struct Losses {
-    /// The orders' numbers.
+    /// Ids of the orders.
     pub orders: Vec<u64>,
-    /// How many followers were taken out.
-    pub out: usize,
+    /// Number of followers that were newly excluded.
+    pub excluded: usize,
 }
 
 impl Carriers {
-    /// Looks at the followers anew: each that answered the log, its latest stamp, and how
-    /// old the latest message is that it answered. So many are `wanted` to carry orders;
-    /// with none the leader calls all workers itself.
+    /// Updates the set of carriers. `heard` has each follower that has acknowledged the log,
+    /// with its latest stamp and the age in milliseconds of the latest message that it
+    /// acknowledged. At most `wanted` followers carry orders; with none the leader calls all
+    /// workers itself.
     pub fn update(
         &mut self,
         now_ms: u64,
@@ -77,7 +79,7 @@
         let mut losses = Losses::default();
         let silent: BTreeSet<&EntryName> = heard
             .iter()
-            .filter(|(_, _, age_ms)| *age_ms > SILENT_MS)
+            .filter(|(_, _, age_ms)| *age_ms > LOST_AFTER_MS)
             .map(|(name, ..)| *name)
             .collect();
         for (name, stamp, _) in heard {
@@ -89,57 +91,61 @@
             let restarted = before.is_some_and(|before| before.start != stamp.start);
             let lost = restarted || silent.contains(name);
             if lost && !follower.open.is_empty() {
-                follower.take_out(now_ms, name, "it is lost", &mut losses);
-                follower.lose_all(&mut losses);
+                follower.exclude(now_ms, name, "it is lost", &mut losses);
+                follower.lose_open(&mut losses);
             }
         }
         for (name, follower) in &mut self.followers {
             follower.lose_overdue(now_ms, name, &mut losses);
         }
-        let there = heard.iter().filter(|(_, _, age_ms)| *age_ms <= LAGS_MS);
-        let fit = there.filter(|(name, ..)| {
+        let current = heard.iter().filter(|(_, _, age_ms)| *age_ms <= MAX_LAG_MS);
+        let usable = current.filter(|(name, ..)| {
             let follower = self.followers.get(*name);
-            follower.is_some_and(|f| now_ms >= f.out_until_ms)
+            follower.is_some_and(|f| now_ms >= f.excluded_until_ms)
         });
-        self.there = fit.take(wanted).map(|(name, ..)| (*name).clone()).collect();
-        self.own.retain(|_, until_ms| now_ms < *until_ms);
+        self.active = usable
+            .take(wanted)
+            .map(|(name, ..)| (*name).clone())
+            .collect();
+        self.direct.retain(|_, until_ms| now_ms < *until_ms);
         losses
     }
 
-    /// The follower that carries the orders to a worker; none for the leader itself.
-    pub fn of(&self, worker: &InstanceName) -> Option<&EntryName> {
-        if self.own.contains_key(worker) {
+    /// Returns the follower that carries the orders to a worker, or `None` if the leader
+    /// calls the worker itself.
+    pub fn carrier_of(&self, worker: &InstanceName) -> Option<&EntryName> {
+        if self.direct.contains_key(worker) {
             return None;
         }
-        self.there.iter().max_by_key(|name| weight(name, worker))
+        self.active.iter().max_by_key(|name| weight(name, worker))
     }
 
-    /// Gives an order to the follower that carries those to its worker; gives it back if
-    /// the leader carries it out itself.
-    pub fn give(&mut self, order: Order) -> Option<Order> {
-        let Some(name) = self.of(&order.worker) else {
+    /// Queues an order for the carrier of its worker; returns the order if the leader is to
+    /// send it itself.
+    pub fn assign(&mut self, order: Order) -> Option<Order> {
+        let Some(name) = self.carrier_of(&order.worker) else {
             return Some(order);
         };
         let name = name.clone();
         match self.followers.get_mut(&name) {
             Some(follower) => {
-                follower.waiting.push(order);
+                follower.unsent.push(order);
                 None
             }
             None => Some(order),
         }
     }
 
-    /// The messages with what was given since the last time.
+    /// Returns the messages with the orders queued since the last call.
     pub fn messages(&mut self, now_ms: u64, term: u64) -> Vec<(EntryName, PeerMessage)> {
         let mut messages = Vec::new();
         for (name, follower) in &mut self.followers {
-            let (Some(heard), false) = (follower.stamp, follower.waiting.is_empty()) else {
+            let (Some(heard), false) = (follower.stamp, follower.unsent.is_empty()) else {
                 continue;
             };
-            let orders = std::mem::take(&mut follower.waiting);
+            let orders = std::mem::take(&mut follower.unsent);
             for order in &orders {
-                let until_ms = now_ms + order.timeout_ms + MARGIN_MS;
+                let until_ms = now_ms + order.timeout_ms + OUTCOME_MARGIN_MS;
                 follower.open.insert(order.id, until_ms);
             }
             let batches = batches(orders, Order::size_bytes).into_iter();
@@ -155,68 +161,73 @@
         messages
     }
 
-    /// A follower tells what came of an order; `false` if it was not waited for.
-    pub fn answered(&mut self, from: &EntryName, id: u64) -> bool {
+    /// Records that a follower returned the outcome of an order; returns `false` if the
+    /// order was not open there.
+    pub fn record_outcome(&mut self, from: &EntryName, id: u64) -> bool {
         let Some(follower) = self.followers.get_mut(from) else {
             return false;
         };
-        follower.losses = 0;
+        follower.consecutive_losses = 0;
         follower.open.remove(&id).is_some()
     }
 
-    /// A follower is about to end. What it has open it still answers.
-    pub fn closing(&mut self, now_ms: u64, from: &EntryName) -> Losses {
+    /// Excludes a follower that is about to stop. It still returns the outcomes of its open
+    /// orders.
+    pub fn record_closing(&mut self, now_ms: u64, from: &EntryName) -> Losses {
         let mut losses = Losses::default();
         if let Some(follower) = self.followers.get_mut(from) {
-            follower.take_out(now_ms, from, "it ends", &mut losses);
+            follower.exclude(now_ms, from, "it is stopping", &mut losses);
         }
-        self.there.retain(|name| name != from);
+        self.active.retain(|name| name != from);
         losses
     }
 
-    /// A follower did not reach a worker: the leader tries it itself.
-    pub fn unreached(&mut self, now_ms: u64, worker: &InstanceName) {
-        self.own.insert(worker.clone(), now_ms + OWN_MS);
+    /// Records that a follower could not reach a worker, which the leader then calls itself
+    /// for a while.
+    pub fn record_unreachable(&mut self, now_ms: u64, worker: &InstanceName) {
+        self.direct.insert(worker.clone(), now_ms + DIRECT_MS);
     }
 }
 
 impl Follower {
-    fn take_out(&mut self, now_ms: u64, name: &EntryName, why: &str, losses: &mut Losses) {
-        if now_ms >= self.out_until_ms {
+    fn exclude(&mut self, now_ms: u64, name: &EntryName, why: &str, losses: &mut Losses) {
+        if now_ms >= self.excluded_until_ms {
             let open = self.open.len();
-            tracing::warn!(%name, open, why, "carrier: is taken out");
-            losses.out += 1;
+            tracing::warn!(%name, open, why, "carrier: a follower is excluded");
+            losses.excluded += 1;
         }
-        self.out_until_ms = now_ms + OUT_MS;
+        self.excluded_until_ms = now_ms + EXCLUSION_MS;
     }
 
-    fn lose_all(&mut self, losses: &mut Losses) {
-        self.losses = 0;
+    fn lose_open(&mut self, losses: &mut Losses) {
+        self.consecutive_losses = 0;
         let open = std::mem::take(&mut self.open);
         losses.orders.extend(open.into_keys());
     }
 
-    /// Counts what is overdue as unanswered.
+    /// Counts overdue orders as unanswered.
     ///
-    /// A follower that answers the log but gives no outcomes (it runs another release, or
-    /// is too slow) would cost each of its workers an order after the other. After several
-    /// all that it has open is counted so too: it will not come either.
+    /// A follower that acknowledges the log but returns no outcomes (it runs another release
+    /// or is too slow) would lose one order after the other to each of its workers.
+    /// Therefore, after several losses in a row, all its open orders count as unanswered
+    /// too, as no outcome of theirs is to be expected.
     fn lose_overdue(&mut self, now_ms: u64, name: &EntryName, losses: &mut Losses) {
         let overdue = self.open.iter().filter(|(_, until)| now_ms >= **until);
         let overdue: Vec<u64> = overdue.map(|(id, _)| *id).collect();
         for id in overdue {
             self.open.remove(&id);
             losses.orders.push(id);
-            self.losses += 1;
+            self.consecutive_losses += 1;
         }
-        if self.losses >= LOSSES_MAX {
-            self.take_out(now_ms, name, "it gives no outcomes", losses);
-            self.lose_all(losses);
+        if self.consecutive_losses >= CONSECUTIVE_LOSSES_MAX {
+            self.exclude(now_ms, name, "it returns no outcomes", losses);
+            self.lose_open(losses);
         }
     }
 }
 
-/// How far in front a follower is for a worker: the same in every process of a release.
+/// Returns the rendezvous hash weight of a follower for a worker; the highest wins. All
+/// processes of the same release compute the same weight.
 fn weight(follower: &EntryName, worker: &InstanceName) -> u64 {
     let mut hasher = DefaultHasher::new();
     (follower.as_str(), worker.as_str()).hash(&mut hasher);
--- a/src/control/decision.rs
+++ b/src/control/decision.rs
@@ -2,46 +2,46 @@
 
 use super::Rejection;
 
-/// A decision or an observation that is counted.
+/// A decision or an event that is counted in the metrics, by its displayed name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Decision {
-    /// A start was sent again, as it was not answered.
+    /// A start order was sent again because it was not answered.
     #[display("start-sent-again")]
     StartSentAgain,
-    /// A worker rejected a start.
+    /// A worker rejected a start order.
     #[display("start-rejected-{_0}")]
     StartRejected(Rejection),
     /// A run ended.
     #[display("run-{_0}")]
     RunEnded(Ending),
-    /// A run stood still and starts anew.
+    /// A run was stalled and is restarted.
     #[display("run-stood-still")]
     RunStalled,
-    /// A worker's leases ran out.
+    /// All leases of a worker expired.
     #[display("worker-lapsed")]
     WorkerLapsed,
-    /// A machine was ordered to another pool.
+    /// A machine was ordered to move to another pool.
     #[display("machine-moved")]
     MachineMoved,
     /// A machine's upkeep was ordered.
     #[display("machine-upkeep")]
     Upkeep,
-    /// This instance began to lead.
+    /// This instance became the leader.
     #[display("lead-began")]
     LeadBegan,
-    /// An order was carried out for the leader.
+    /// As a follower, an order was carried for the leader.
     #[display("order-carried")]
     OrderCarried,
-    /// An order for the leader was dropped, as it came too late.
+    /// As a follower, an order of the leader was dropped because it arrived too late.
     #[display("order-stale")]
     OrderStale,
-    /// An order that a follower was to carry out has no outcome.
+    /// An order that a follower was to carry counts as unanswered.
     #[display("order-not-carried")]
     OrderNotCarried,
-    /// An order to a worker never left.
+    /// An order to a worker was not sent.
     #[display("order-not-sent")]
     OrderNotSent,
-    /// A follower was taken out of those that carry orders.
+    /// A follower was excluded from carrying orders.
     #[display("carrier-out")]
     CarrierOut,
 }
--- a/src/control/demand.rs
+++ b/src/control/demand.rs
@@ -94,7 +94,7 @@
             add_work(now_unix_ms, job, queue, &takes_ms, policy, pool);
         }
     }
-    for (name, worker, link) in fleet.linked(state) {
+    for (name, worker, link) in fleet.linked_workers(state) {
         if !link.is_heard(now_ms) || !worker.takes_work() {
             continue;
         }
--- a/src/control/estimates.rs
+++ b/src/control/estimates.rs
@@ -1,13 +1,13 @@
-//! How long tasks really take.
+//! Corrections of callers' run time estimates, learned from the tasks that have ended.
 //!
-//! Answers estimates that are off by a multiple, each job's by another: with them alone a
-//! job that is thought to be short holds up others, and a worker that stands still looks
-//! like a long task. Each queue has two factors learnt from its tasks' ends: one for what
-//! a job usually takes, and one for what all its jobs take together. They differ by a
-//! multiple where errors do: of estimates that are as often half as double, the mean of
-//! the ratios is far above one, and so is the sum of the estimates above that of the run
-//! times; multiplied, they called for twice the machines. A step some of whose tasks have
-//! ended has a factor of its own.
+//! Estimates are off by a multiple that differs from job to job. Taken as they are, a job
+//! that is believed to be short holds up others, and a stalled worker looks like a long
+//! task. Each queue has two factors: one for the usual run time of a single job, and one
+//! for the work of all its jobs together. The two differ by a multiple when errors spread
+//! widely: if estimates are half of the run time as often as double, the mean of the
+//! ratios is far above one, and the sum of the estimates is above the sum of the run
+//! times. The product of that mean and that sum called for twice the machines that were
+//! needed. A step with tasks that have ended has a factor of its own.
 
 use std::collections::BTreeMap;
 
@@ -15,50 +15,51 @@
 
 use crate::jobs::{Job, JobId};
 
-/// Weight of a new end in its queue's factors: some twenty ends are remembered.
+/// Weight of a new run in its queue's factors, which average over about twenty runs.
 const QUEUE_WEIGHT: f64 = 0.05;
-/// Weight of a new end in its step's factor: tasks of a step are alike, so a few
+/// Weight of a new run in its step's factor. Tasks of one step are alike, so a few runs
 /// suffice.
 const STEP_WEIGHT: f64 = 0.4;
-/// A factor outside of this is an error of measurement.
-const RANGE: (f64, f64) = (0.05, 20.0);
-/// Ends whose worth of estimates counts as right before any is seen.
-const BELIEVED_ENDS: f64 = 5.0;
+/// Range to which a measured factor is clamped; outside of it the measurement is wrong.
+const FACTOR_RANGE: (f64, f64) = (0.05, 20.0);
+/// Number of runs with exact estimates that a queue is assumed to have had before the
+/// first one.
+const PRIOR_RUNS: f64 = 5.0;
 
-/// Learnt factors of the callers' estimates.
+/// Learned factors by which callers' estimates are corrected.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Estimates {
-    queues: BTreeMap<String, Learnt>,
-    /// By job and step.
+    queues: BTreeMap<String, QueueFactors>,
+    /// Factors by job and step.
     steps: BTreeMap<(JobId, usize), f64>,
 }
 
-/// What was learnt of a queue.
+/// The learned factors of a queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct Learnt {
-    /// The mean logarithm of run time by estimate.
+struct QueueFactors {
+    /// Moving average of the logarithm of run time divided by estimate.
     log: f64,
-    /// Core-milliseconds that ended tasks took, and what their estimates came to; older
-    /// ones count less.
+    /// Core-milliseconds that ended tasks took, with older tasks weighted less.
     took: f64,
+    /// Core-milliseconds that the same tasks were estimated to take.
     estimated: f64,
 }
 
 impl Estimates {
-    /// What the estimates of all jobs of a queue together are to be multiplied by.
+    /// Returns the factor for the sum of the estimates of a queue's jobs.
     pub fn work_factor(&self, queue: &str) -> f64 {
-        let learnt = self.queues.get(queue).filter(|l| l.estimated > 0.0);
-        learnt.map_or(1.0, |learnt| learnt.took / learnt.estimated)
+        let factors = self.queues.get(queue).filter(|l| l.estimated > 0.0);
+        factors.map_or(1.0, |factors| factors.took / factors.estimated)
     }
 
-    /// What the estimate of a job of a queue is to be multiplied by.
+    /// Returns the factor for the estimate of a single job of a queue.
     pub fn factor(&self, queue: &str) -> f64 {
         self.queues
             .get(queue)
-            .map_or(1.0, |learnt| learnt.log.exp())
+            .map_or(1.0, |factors| factors.log.exp())
     }
 
-    /// How long a task of each step of a job takes, in milliseconds.
+    /// Returns the expected run time of a task of each step of a job, in milliseconds.
     pub fn run_times_ms(&self, job: &Job) -> Vec<u64> {
         let usual = self.factor(&job.queue);
         let steps = job.spec.steps.iter().enumerate();
@@ -70,40 +71,41 @@
             .collect()
     }
 
-    /// A task of a step took `actual_ms`.
-    pub fn ended(&mut self, job: &Job, step: usize, actual_ms: u64) {
+    /// Records that a task of a step took `actual_ms`.
+    pub fn record_run(&mut self, job: &Job, step: usize, actual_ms: u64) {
         let spec = &job.spec.steps[step];
-        let Some(factor) = ratio(spec.estimate_ms, actual_ms) else {
+        let Some(factor) = clamped_ratio(spec.estimate_ms, actual_ms) else {
             return;
         };
         let cores = spec.demand.cores();
         let estimated = spec.estimate_ms as f64 * cores;
         let queue = self.queues.entry(job.queue.clone());
-        let learnt = queue.or_insert_with(|| Learnt {
+        let factors = queue.or_insert_with(|| QueueFactors {
             log: 0.0,
-            took: estimated * BELIEVED_ENDS,
-            estimated: estimated * BELIEVED_ENDS,
+            took: estimated * PRIOR_RUNS,
+            estimated: estimated * PRIOR_RUNS,
         });
-        learnt.log += QUEUE_WEIGHT * (factor.ln() - learnt.log);
+        factors.log += QUEUE_WEIGHT * (factor.ln() - factors.log);
         let kept = 1.0 - QUEUE_WEIGHT;
-        learnt.took = learnt.took * kept + factor * estimated;
-        learnt.estimated = learnt.estimated * kept + estimated;
-        let own = self.steps.entry((job.id, step)).or_insert(factor);
-        *own += STEP_WEIGHT * (factor - *own);
+        factors.took = factors.took * kept + factor * estimated;
+        factors.estimated = factors.estimated * kept + estimated;
+        let step_factor = self.steps.entry((job.id, step)).or_insert(factor);
+        *step_factor += STEP_WEIGHT * (factor - *step_factor);
     }
 
-    /// Forgets queues that are no more.
+    /// Forgets the queues for which `keep` returns false.
     pub fn retain_queues(&mut self, keep: impl Fn(&str) -> bool) {
         self.queues.retain(|queue, _| keep(queue));
     }
 
-    /// Forgets jobs that are over.
+    /// Forgets the jobs for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(JobId) -> bool) {
         self.steps.retain(|(job, _), _| keep(*job));
     }
 }
 
-fn ratio(estimate_ms: u64, actual_ms: u64) -> Option<f64> {
+/// Returns the run time divided by the estimate, if both are positive.
+fn clamped_ratio(estimate_ms: u64, actual_ms: u64) -> Option<f64> {
     let ratio = actual_ms as f64 / estimate_ms as f64;
-    (estimate_ms > 0 && actual_ms > 0).then(|| ratio.clamp(RANGE.0, RANGE.1))
+    (estimate_ms > 0 && actual_ms > 0).then(|| ratio.clamp(FACTOR_RANGE.0, FACTOR_RANGE.1))
 }
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -12,7 +12,8 @@
 }
 
 impl Fleet {
-    /// The links of a leader that begins: what runs is an earlier leader's.
+    /// Creates the links of a new leader. All runs in the state count as inherited from an
+    /// earlier leader.
     pub fn new(now_ms: u64, lease_ms: u64, state: &State, sizes: &Sizes) -> Self {
         let names = state.workers().keys().cloned();
         let mut links: BTreeMap<_, _> = names
@@ -28,44 +29,45 @@
                 let step = usize::from(task.step);
                 let load = RunLoad::of(&job.spec.steps[step], large);
                 let mut view = RunView::new(RunPhase::Inherited, load);
-                view.expect(&job.spec.steps[step], run.placed_unix_ms, takes_ms[step]);
+                view.set_expected(&job.spec.steps[step], run.placed_unix_ms, takes_ms[step]);
                 link.runs.insert((task, run.attempt), view);
             }
         }
         Self { lease_ms, links }
     }
 
-    /// Begins a link if there is none.
-    pub fn meet(&mut self, now_ms: u64, name: &InstanceName) {
+    /// Adds a link to a worker unless there is one.
+    pub fn add_link(&mut self, now_ms: u64, name: &InstanceName) {
         if !self.links.contains_key(name) {
             let link = WorkerLink::new(now_ms, self.lease_ms);
             self.links.insert(name.clone(), link);
         }
     }
 
-    /// Ends a link with all its runs.
-    pub fn part(&mut self, name: &InstanceName) {
+    /// Removes the link to a worker with all its runs.
+    pub fn remove_link(&mut self, name: &InstanceName) {
         self.links.remove(name);
     }
 
-    /// A worker's link.
+    /// Returns the link to a worker.
     pub fn link(&self, name: &InstanceName) -> Option<&WorkerLink> {
         self.links.get(name)
     }
 
-    /// A worker's link, to change.
+    /// Returns the link to a worker for changes.
     pub fn link_mut(&mut self, name: &InstanceName) -> Option<&mut WorkerLink> {
         self.links.get_mut(name)
     }
 
-    /// All links.
+    /// Iterates over all links.
     pub fn links(&self) -> impl Iterator<Item = (&InstanceName, &WorkerLink)> {
         self.links.iter()
     }
 
-    /// All workers of the state that are linked, by a walk through both in their common
-    /// order: a look-up of each by its name took a third of a pass's time.
-    pub fn linked<'a>(
+    /// Iterates over the workers of the state that have a link. Both maps are merged in
+    /// their common order, because looking up each worker by name took a third of the time
+    /// of a scheduling pass.
+    pub fn linked_workers<'a>(
         &'a self,
         state: &'a State,
     ) -> impl Iterator<Item = (&'a InstanceName, &'a Worker, &'a WorkerLink)> {
@@ -77,12 +79,12 @@
         })
     }
 
-    /// All links, to change.
+    /// Iterates over all links for changes.
     pub fn links_mut(&mut self) -> impl Iterator<Item = (&InstanceName, &mut WorkerLink)> {
         self.links.iter_mut()
     }
 
-    /// The runs on a worker with their jobs.
+    /// Returns the runs on a worker (job, task and attempt).
     pub fn runs_on<'a>(
         &'a self,
         state: &'a State,
@@ -96,12 +98,12 @@
         runs.filter_map(|(task, attempt)| Some((state.job(task.job)?, *task, *attempt)))
     }
 
-    /// What is known of a run.
+    /// Returns the leader's view of a run.
     pub fn run(&self, worker: &InstanceName, task: TaskId, attempt: u32) -> Option<&RunView> {
         self.links.get(worker)?.runs.get(&(task, attempt))
     }
 
-    /// What is known of a run, to change.
+    /// Returns the leader's view of a run for changes.
     pub fn run_mut(
         &mut self,
         worker: &InstanceName,
--- a/src/control/history.rs
+++ b/src/control/history.rs
@@ -40,7 +40,7 @@
 
     /// A task of a step took so long, from its placement to its end.
     pub fn ended(&mut self, job: &Job, step: usize, took_ms: u64) {
-        self.estimates.ended(job, step, took_ms);
+        self.estimates.record_run(job, step, took_ms);
     }
 
     /// How long tasks really take.
--- a/src/control/load.rs
+++ b/src/control/load.rs
@@ -2,19 +2,19 @@
 
 use crate::jobs::Room;
 
-/// Room that is taken or asked for on average, of each kind.
+/// Average amounts of resources in use or in demand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Cores.
+    /// Processor cores.
     pub cores: f64,
     /// Memory in mebibytes.
     pub memory_mb: f64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: f64,
 }
 
 impl Load {
-    /// Cores alone.
+    /// Returns a load of cores alone.
     pub fn of_cores(cores: f64) -> Self {
         Self {
             cores,
@@ -22,23 +22,23 @@
         }
     }
 
-    /// Both together.
+    /// Returns the sum of both loads.
     pub fn plus(&self, other: &Self) -> Self {
-        self.with(other, |own, other| own + other)
+        self.combine(other, |own, other| own + other)
     }
 
-    /// So many times as much.
+    /// Returns the load multiplied by a factor.
     pub fn times(&self, times: f64) -> Self {
-        self.with(self, |own, _| own * times)
+        self.combine(self, |own, _| own * times)
     }
 
-    /// The larger of each kind.
+    /// Returns the larger amount of each resource.
     pub fn max(&self, other: &Self) -> Self {
-        self.with(other, f64::max)
+        self.combine(other, f64::max)
     }
 
-    /// How many of some size are needed to hold it: as many as the kind asks for of which
-    /// most is needed. What there is none of does not count.
+    /// Returns how many units of `size` the load needs, determined by the scarcest
+    /// resource. Resources of which `size` has none are left out.
     pub fn count(&self, size: &Self) -> f64 {
         let of = |load: f64, size: f64| if size > 0.0 { load / size } else { 0.0 };
         of(self.cores, size.cores)
@@ -46,7 +46,7 @@
             .max(of(self.accelerators, size.accelerators))
     }
 
-    fn with(&self, other: &Self, by: impl Fn(f64, f64) -> f64) -> Self {
+    fn combine(&self, other: &Self, by: impl Fn(f64, f64) -> f64) -> Self {
         Self {
             cores: by(self.cores, other.cores),
             memory_mb: by(self.memory_mb, other.memory_mb),
--- a/src/control/node/applied.rs
+++ b/src/control/node/applied.rs
@@ -85,7 +85,7 @@
                 }
             }
             Change::Report(report) => {
-                lead.fleet.meet(now_ms, &report.worker);
+                lead.fleet.add_link(now_ms, &report.worker);
                 // Whoever was at this address before is asked at once: its successor
                 // says that it is over, sooner than its lease runs out.
                 let there = self.state.workers_at(report.address);
@@ -110,7 +110,7 @@
                     let jobs = link.runs.keys().map(|(task, _)| task.job);
                     jobs.for_each(|job| lead.scheduler.touch(job));
                 }
-                lead.fleet.part(worker);
+                lead.fleet.remove_link(worker);
                 lead.reports.forget(worker);
                 lead.throttles.remove(worker);
             }
--- a/src/control/node/calls.rs
+++ b/src/control/node/calls.rs
@@ -118,7 +118,7 @@
         let Some(lead) = &mut self.lead else {
             return;
         };
-        if !lead.reports.is_newer(now_ms, &report) {
+        if !lead.reports.record_if_current(now_ms, &report) {
             return self.answer(&caller, Answer::Done);
         }
         if self.state.knows(&report) {
--- a/src/control/node/carrying.rs
+++ b/src/control/node/carrying.rs
@@ -1,6 +1,6 @@
 //! Orders that followers carry out for the leader, on both sides.
 
-use super::super::carrier::FRESH_MS;
+use super::super::carrier::ORDER_MAX_AGE_MS;
 use super::super::carriers::Losses;
 use super::super::{Carrier, Decision, Effect, Order, OrderOutcome};
 use super::Node;
@@ -24,7 +24,7 @@
     }
 
     fn take_losses(&mut self, now_ms: u64, losses: Losses) {
-        for _ in 0..losses.out {
+        for _ in 0..losses.excluded {
             self.out.push(Effect::Count(Decision::CarrierOut));
         }
         for id in losses.orders {
@@ -57,21 +57,21 @@
             return;
         };
         if closing {
-            let losses = lead.carriers.closing(now_ms, from);
+            let losses = lead.carriers.record_closing(now_ms, from);
             self.take_losses(now_ms, losses);
         }
         for (id, outcome) in outcomes {
             let Some(lead) = &mut self.lead else {
                 return;
             };
-            if !lead.carriers.answered(from, id) {
+            if !lead.carriers.record_outcome(from, id) {
                 continue;
             }
             if outcome == OrderOutcome::Unanswered
                 && let Some(sent) = lead.orders.get(&id)
             {
                 let worker = sent.worker().clone();
-                lead.carriers.unreached(now_ms, &worker);
+                lead.carriers.record_unreachable(now_ms, &worker);
             }
             self.ordered(now_ms, id, outcome);
         }
@@ -94,7 +94,7 @@
             return;
         }
         let age_ms = self.replica.stamp_age_ms(now_ms, heard);
-        if age_ms.is_none_or(|age_ms| age_ms > FRESH_MS) {
+        if age_ms.is_none_or(|age_ms| age_ms > ORDER_MAX_AGE_MS) {
             tracing::warn!(%from, term, ?age_ms, orders = orders.len(), "carrier: old orders are dropped");
             let stale = orders.iter().map(|_| Effect::Count(Decision::OrderStale));
             self.out.extend(stale);
@@ -104,7 +104,7 @@
             }
             return;
         }
-        for order in self.carrier.take(now_ms, from, term, orders) {
+        for order in self.carrier.accept(now_ms, from, term, orders) {
             self.out.push(Effect::Count(Decision::OrderCarried));
             self.out.push(Effect::Order(order));
         }
@@ -144,7 +144,7 @@
         if !Carrier::is_carried(id) {
             return self.ordered(now_ms, id, outcome);
         }
-        if !self.carrier.carried(now_ms, id, outcome) {
+        if !self.carrier.record_outcome(now_ms, id, outcome) {
             tracing::debug!(id, "carrier: an outcome for a leader that is over");
         }
     }
--- a/src/control/node/orders.rs
+++ b/src/control/node/orders.rs
@@ -121,7 +121,7 @@
             timeout_ms,
             kind,
         };
-        let own = lead.carriers.give(order);
+        let own = lead.carriers.assign(order);
         self.out.extend(own.map(Effect::Order));
         lead.orders.insert(id, sent);
         true
@@ -142,14 +142,14 @@
         if !placed {
             return;
         }
-        lead.fleet.meet(now_ms, &start.worker);
+        lead.fleet.add_link(now_ms, &start.worker);
         if let Some(link) = lead.fleet.link_mut(&start.worker) {
             let load = lead.scheduler.load_of(&self.state, start.task);
             let mut view = RunView::new(RunPhase::Starting { unanswered: 0 }, load);
             if let Some(job) = job {
                 let step = usize::from(start.task.step);
                 let takes_ms = self.state.history().estimates().run_times_ms(job);
-                view.expect(
+                view.set_expected(
                     &job.spec.steps[step],
                     self.clock.unix_ms(now_ms),
                     takes_ms[step],
--- a/src/control/order.rs
+++ b/src/control/order.rs
@@ -5,25 +5,25 @@
 use crate::jobs::{Ending, TaskId};
 use crate::model::InstanceName;
 
-/// An order to a worker.
+/// An order from the leader to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Names it in the outcome.
+    /// Id that links the outcome to the order.
     pub id: u64,
-    /// Where the worker takes orders.
+    /// Address at which the worker takes orders.
     pub address: SocketAddr,
-    /// The incarnation that is meant; any other refuses.
+    /// Incarnation that the order is for; any other rejects it.
     pub worker: InstanceName,
     /// The leader's fencing token.
     pub fence: u64,
-    /// How long its answer is waited for.
+    /// Timeout of the call to the worker.
     pub timeout_ms: u64,
-    /// What to do.
+    /// The action.
     pub kind: OrderKind,
 }
 
 impl Order {
-    /// About its size in a message.
+    /// Returns the approximate size of the order in a message.
     pub fn size_bytes(&self) -> usize {
         let texts = match &self.kind {
             OrderKind::Start {
@@ -34,62 +34,62 @@
             } => payload.len() + checkpoint.len() + ticket.as_ref().map_or(0, String::len),
             OrderKind::Stop { .. } | OrderKind::Renew { .. } | OrderKind::Throttle { .. } => 0,
         };
-        texts + FIXED_BYTES
+        texts + BASE_SIZE_BYTES
     }
 }
 
-/// About the size of an order, a run or an end in a message, but for its texts.
-const FIXED_BYTES: usize = 100;
+/// Approximate size of an order, a run or an end in a message without its texts.
+const BASE_SIZE_BYTES: usize = 100;
 
-/// What a worker is to do.
+/// The action that a worker is to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKind {
     /// Start a run.
     Start {
-        /// Of this task.
+        /// Task to run.
         task: TaskId,
-        /// The number of the start.
+        /// Number of this attempt at the task.
         attempt: u32,
-        /// Handed to the task.
+        /// Input that is passed to the task.
         payload: String,
-        /// The end of the worker's lease, on its clock.
+        /// New end of the worker's lease, on the worker's clock.
         lease_end_ms: u64,
-        /// Where to resume; empty for the beginning.
+        /// Saved progress from which to resume; empty to start from the beginning.
         checkpoint: String,
         /// The advisor's permission, where one is needed.
         ticket: Option<String>,
     },
     /// Stop a run.
     Stop {
-        /// Of this task.
+        /// Task of the run.
         task: TaskId,
-        /// The number of its start.
+        /// Attempt of the run.
         attempt: u32,
     },
-    /// Renew the lease, acknowledge ends, list what runs and what ended.
+    /// Renew the lease, acknowledge ends, and list the runs and the ends.
     Renew {
-        /// The new end of the worker's lease, on its clock; none leaves it.
+        /// New end of the worker's lease, on the worker's clock; `None` leaves it unchanged.
         lease_end_ms: Option<u64>,
-        /// Ends up to this one are durable and may be forgotten.
+        /// Number of the last end that is durable; ends up to it may be forgotten.
         acknowledged: u64,
-        /// How long to wait for an end.
+        /// How long the worker may wait for an end before it answers.
         wait_ms: u64,
     },
-    /// Let a run work at a share of its speed.
+    /// Limit a run to a share of its full speed.
     Throttle {
-        /// Of this task.
+        /// Task of the run.
         task: TaskId,
-        /// The number of its start.
+        /// Attempt of the run.
         attempt: u32,
-        /// The share, 0 to 100.
+        /// Share of the full speed, 0 to 100.
         percent: u8,
     },
 }
 
-/// What came of an order.
+/// The outcome of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// It was carried out.
+    /// The worker carried out the order.
     Done {
         /// The worker's clock.
         clock_ms: Option<u64>,
@@ -98,93 +98,97 @@
     Listed {
         /// The worker's clock.
         clock_ms: u64,
-        /// What runs.
+        /// Runs that are active.
         running: Vec<Running>,
-        /// What ended and is not acknowledged.
+        /// Ends that are not acknowledged yet.
         ended: Vec<Ended>,
     },
-    /// It was refused and did nothing.
+    /// The worker rejected the order, which had no effect.
     Rejected {
-        /// Why.
+        /// Reason of the rejection.
         reason: Rejection,
         /// The worker's clock.
         clock_ms: Option<u64>,
     },
-    /// Whether it was or will be carried out is not known.
+    /// There was no answer: the order may have been carried out or may still be.
     Unanswered,
-    /// It has not left and will not: its time was over before it got its turn with the
-    /// worker, or who was to carry it out did not take it. It says nothing of the worker.
+    /// The order was not sent and will not be: it timed out while it waited for a connection
+    /// to the worker, or its carrier did not accept it. This says nothing about the worker.
     NotSent,
 }
 
 impl OrderOutcome {
-    /// About its size in a message.
+    /// Returns the approximate size of the outcome in a message.
     pub fn size_bytes(&self) -> usize {
         let Self::Listed { running, ended, .. } = self else {
-            return FIXED_BYTES;
+            return BASE_SIZE_BYTES;
         };
-        let running = running.iter().map(|run| run.checkpoint.len() + FIXED_BYTES);
-        let ended = ended.iter().map(|end| end.checkpoint.len() + FIXED_BYTES);
-        running.chain(ended).sum::<usize>() + FIXED_BYTES
+        let running = running
+            .iter()
+            .map(|run| run.checkpoint.len() + BASE_SIZE_BYTES);
+        let ended = ended
+            .iter()
+            .map(|end| end.checkpoint.len() + BASE_SIZE_BYTES);
+        running.chain(ended).sum::<usize>() + BASE_SIZE_BYTES
     }
 }
 
-/// Why a worker refuses an order.
+/// Reason for which a worker rejects an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 pub enum Rejection {
-    /// A higher fencing token was seen.
+    /// The worker has seen a higher fencing token.
     #[display("fence")]
     Fence,
-    /// A run with this number or a higher one ended or was stopped there.
+    /// A run of the task with this or a higher attempt number has ended or was stopped there.
     #[display("old")]
     Old,
-    /// The lease end has passed.
+    /// The lease end in the order has passed.
     #[display("late")]
     Late,
-    /// It does not fit.
+    /// There is not enough free room for the task.
     #[display("room")]
     Room,
-    /// The advisor's permission is missing or over.
+    /// The advisor's permission is missing or has expired.
     #[display("ticket")]
     Ticket,
-    /// The incarnation that was meant is over.
+    /// The order is for another incarnation of the worker.
     #[display("incarnation")]
     Incarnation,
     /// The worker is not healthy.
     #[display("unhealthy")]
     Unhealthy,
-    /// It could not be read.
+    /// The worker could not decode the order.
     #[display("malformed")]
     Malformed,
 }
 
-/// A run that a worker lists.
+/// An active run as a worker lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Running {
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
-    /// The number of its start.
+    /// Attempt of the run.
     pub attempt: u32,
-    /// Its saved progress; empty for none.
+    /// Saved progress; empty if there is none.
     pub checkpoint: String,
-    /// How far it is up, 0 to 100.
+    /// Progress, 0 to 100; for a lasting task, how far it has started up.
     pub percent: u8,
-    /// The tail latency in milliseconds of a task that serves, else the
-    /// processor in use in thousandths of a core; over the last half second.
+    /// Over the last half second, the tail latency in milliseconds of a task that serves
+    /// users, or the processor use of any other task in thousandths of a core.
     pub gauge: Option<u64>,
 }
 
-/// An end that a worker lists.
+/// An ended run as a worker lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ended {
-    /// Counts the ends of the worker's incarnation.
+    /// Sequence number of the end within the worker's incarnation.
     pub number: u64,
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
-    /// The number of its start.
+    /// Attempt of the run.
     pub attempt: u32,
-    /// How it ended.
+    /// Way in which the run ended.
     pub ending: Ending,
-    /// Its saved progress; empty for none.
+    /// Saved progress; empty if there is none.
     pub checkpoint: String,
 }
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -228,7 +228,7 @@
         let (state, fleet) = (world.state, world.fleet);
         let proposed = self.proposed_loads(state);
         let mut pools: BTreeMap<&PoolName, (Vec<Candidate>, SizeShares)> = BTreeMap::new();
-        for (name, worker, link) in fleet.linked(state) {
+        for (name, worker, link) in fleet.linked_workers(state) {
             let usable = link.takes_work(now_ms) && worker.takes_work();
             let pool = &worker.report.pool;
             if !usable || !backlog.has_waiting(pool) || self.closed.contains(name) {
--- a/src/control/report.rs
+++ b/src/control/report.rs
@@ -3,39 +3,39 @@
 use crate::jobs::Room;
 use crate::model::{InstanceName, PoolName, RackName, ZoneName};
 
-/// What a worker says of itself, decoded in full.
+/// A worker's report about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The worker's incarnation.
     pub worker: InstanceName,
-    /// The machine that it runs on; the same after a restart.
+    /// Name of the machine that the worker runs on, which a restart does not change.
     pub machine: Option<String>,
     /// The pool that the machine is in.
     pub pool: PoolName,
-    /// Where it takes orders.
+    /// Address at which the worker takes orders.
     pub address: std::net::SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the machine.
     pub zone: ZoneName,
-    /// Its rack, where it says so.
+    /// Rack of the machine, if it is reported.
     pub rack: Option<RackName>,
-    /// All its labels.
+    /// Labels that steps may ask for.
     pub labels: Vec<String>,
-    /// All its room.
+    /// Total room for tasks.
     pub capacity: Room,
-    /// What it is about to do.
+    /// Whether the worker takes work or drains.
     pub phase: Phase,
-    /// Rises with each report of an incarnation.
+    /// Sequence number, which rises with each report of an incarnation.
     pub sequence: u64,
 }
 
-/// What a worker is about to do.
+/// Whether a worker takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// It takes work.
+    /// The worker takes work.
     #[display("ready")]
     Ready,
-    /// It is about to leave and must get nothing new.
+    /// The worker is about to stop and must get no new work.
     #[display("draining")]
     Draining,
 }
--- a/src/control/reports.rs
+++ b/src/control/reports.rs
@@ -3,28 +3,32 @@
 use super::Report;
 use crate::model::InstanceName;
 
-/// What the leader remembers of workers' reports, to tell late ones.
+/// The latest report of each worker that reached the leader, to detect stale ones.
 #[derive(Debug, Default)]
 pub struct Reports {
-    latest: BTreeMap<InstanceName, Latest>,
+    latest: BTreeMap<InstanceName, LastReport>,
 }
 
 #[derive(Debug)]
-struct Latest {
+struct LastReport {
     sequence: u64,
     at_ms: u64,
 }
 
 impl Reports {
-    /// Whether the report is not older than one that was taken; notes it then.
+    /// Records a report unless a newer one of the worker was recorded before; returns
+    /// whether it did.
     ///
-    /// A report that was held up on its way may say that a worker is ready which
-    /// has since said that it drains.
-    pub fn is_newer(&mut self, now_ms: u64, report: &Report) -> bool {
-        let latest = self.latest.entry(report.worker.clone()).or_insert(Latest {
-            sequence: report.sequence,
-            at_ms: now_ms,
-        });
+    /// A report that was delayed on its way may say that a worker is ready which has since
+    /// reported that it is draining.
+    pub fn record_if_current(&mut self, now_ms: u64, report: &Report) -> bool {
+        let latest = self
+            .latest
+            .entry(report.worker.clone())
+            .or_insert(LastReport {
+                sequence: report.sequence,
+                at_ms: now_ms,
+            });
         if report.sequence < latest.sequence {
             return false;
         }
@@ -33,7 +37,7 @@
         true
     }
 
-    /// When a worker reported last to this leader.
+    /// Returns the time of the worker's last report to this leader.
     pub fn heard_ms(&self, worker: &InstanceName) -> Option<u64> {
         self.latest.get(worker).map(|latest| latest.at_ms)
     }
--- a/src/control/runs.rs
+++ b/src/control/runs.rs
@@ -5,10 +5,10 @@
 use super::RunView;
 use crate::jobs::{Room, Step, TaskId};
 
-/// The runs that the replicated state has on a worker, with their sums.
+/// The runs that the replicated state has on a worker, with the sum of their loads.
 ///
-/// The sums are kept as runs come and go: a pass that adds up every run of hundreds of
-/// workers costs more than all that it decides.
+/// The sum is updated as runs are added and removed: adding up every run of hundreds of
+/// workers would cost a scheduling pass more than all its decisions.
 #[derive(Debug, Default, Deref)]
 pub struct Runs {
     #[deref]
@@ -16,25 +16,25 @@
     used: RunLoad,
 }
 
-/// What one or several runs take of a worker.
+/// Load of one or several runs on a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunLoad {
-    /// The room that is reserved.
+    /// Room that is reserved.
     pub reserved: Room,
-    /// What of that is not for lasting tasks.
+    /// The part of `reserved` that tasks hold which are not lasting.
     pub passing: Room,
-    /// Runs of lasting tasks.
+    /// Number of runs of lasting tasks.
     pub lasting: u32,
-    /// Runs that only get what others leave.
+    /// Number of best-effort runs, which only get what others leave.
     pub best_effort: u32,
-    /// Runs with users of their own.
+    /// Number of runs that serve users and have a latency target.
     pub serving: u32,
-    /// What runs of small and of large jobs ask for, in thousandths of a core.
+    /// Processor demand of runs of small and of large jobs, in thousandths of a core.
     pub cpu_milli: [u64; 2],
 }
 
 impl RunLoad {
-    /// What a run of a task of this step takes.
+    /// Returns the load of a run of this step; `large` says whether its job is large.
     pub fn of(step: &Step, large: bool) -> Self {
         let mut cpu_milli = [0; 2];
         cpu_milli[usize::from(large)] = u64::from(step.demand.cpu_milli);
@@ -51,22 +51,22 @@
         }
     }
 
-    /// What lasting tasks hold.
+    /// Returns the room that lasting tasks hold.
     pub fn lasting_room(&self) -> Room {
         self.reserved.less(&self.passing)
     }
 
-    /// Both together.
+    /// Returns the sum of both loads.
     pub fn plus(&self, other: &Self) -> Self {
-        self.with(other, u32::saturating_add, u64::saturating_add)
+        self.combine(other, u32::saturating_add, u64::saturating_add)
     }
 
-    /// What is left without the other.
+    /// Returns the load without `other`.
     pub fn less(&self, other: &Self) -> Self {
-        self.with(other, u32::saturating_sub, u64::saturating_sub)
+        self.combine(other, u32::saturating_sub, u64::saturating_sub)
     }
 
-    fn with(&self, other: &Self, by: fn(u32, u32) -> u32, wide: fn(u64, u64) -> u64) -> Self {
+    fn combine(&self, other: &Self, by: fn(u32, u32) -> u32, wide: fn(u64, u64) -> u64) -> Self {
         let room = |own: &Room, other: &Room| Room {
             cpu_milli: by(own.cpu_milli, other.cpu_milli),
             memory_mb: by(own.memory_mb, other.memory_mb),
@@ -84,36 +84,36 @@
 }
 
 impl Runs {
-    /// A run that is to begin, or that an earlier leader began.
+    /// Adds a run that is to be started, or that an earlier leader started.
     pub fn insert(&mut self, key: (TaskId, u32), view: RunView) {
         self.remove(&key);
         self.used = self.used.plus(&view.load);
         self.views.insert(key, view);
     }
 
-    /// A run that is over.
+    /// Removes a run that has ended.
     pub fn remove(&mut self, key: &(TaskId, u32)) {
         if let Some(view) = self.views.remove(key) {
             self.used = self.used.less(&view.load);
         }
     }
 
-    /// All runs are over.
+    /// Removes all runs.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// What is known of a run, to change.
+    /// Returns the leader's view of a run.
     pub fn get_mut(&mut self, key: &(TaskId, u32)) -> Option<&mut RunView> {
         self.views.get_mut(key)
     }
 
-    /// All of them, to change.
+    /// Iterates over the leader's views of all runs.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&(TaskId, u32), &mut RunView)> {
         self.views.iter_mut()
     }
 
-    /// What all of them take.
+    /// Returns the load of all runs together.
     pub fn used(&self) -> &RunLoad {
         &self.used
     }
--- a/src/control/runs_by_worker.rs
+++ b/src/control/runs_by_worker.rs
@@ -3,16 +3,17 @@
 use crate::jobs::{Job, JobId};
 use crate::model::InstanceName;
 
-/// The jobs of which runs may be going on, by worker, with how many of each there are.
+/// Index of the jobs with runs on each worker, with the number of runs of each job.
 ///
-/// It follows from the jobs and is no part of a snapshot. Without it the loss of one
-/// worker walks every task of every active job, on all control instances: when a rack
-/// is lost under a backlog, calls and renewals wait for a walk for each of its workers.
+/// The index is derived from the jobs and is not part of a snapshot. Without it the loss of
+/// a worker requires a scan of every task of every active job on all control instances.
+/// When a rack is lost under a backlog, calls and renewals would wait for one scan per
+/// worker of the rack.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RunsByWorker(BTreeMap<InstanceName, BTreeMap<JobId, usize>>);
 
 impl RunsByWorker {
-    /// All runs of these jobs.
+    /// Builds the index of these jobs' runs.
     pub fn of<'a>(jobs: impl Iterator<Item = &'a Job>) -> Self {
         let mut all = Self::default();
         for job in jobs {
@@ -23,13 +24,13 @@
         all
     }
 
-    /// A run was placed.
+    /// Adds a run of a job on a worker.
     pub fn add(&mut self, worker: &InstanceName, job: JobId) {
         let jobs = self.0.entry(worker.clone()).or_default();
         *jobs.entry(job).or_default() += 1;
     }
 
-    /// A run is over.
+    /// Removes a run of a job on a worker.
     pub fn remove(&mut self, worker: &InstanceName, job: JobId) {
         let Some(jobs) = self.0.get_mut(worker) else {
             return;
@@ -45,7 +46,7 @@
         }
     }
 
-    /// All runs on a worker are over; returns whose there were.
+    /// Removes all runs on a worker and returns the jobs that they belong to.
     pub fn take(&mut self, worker: &InstanceName) -> impl Iterator<Item = JobId> + use<> {
         self.0.remove(worker).unwrap_or_default().into_keys()
     }
--- a/src/control/steady.rs
+++ b/src/control/steady.rs
@@ -1,10 +1,11 @@
 use rustix::time::{ClockId, clock_gettime};
 
-/// Milliseconds of a clock that goes on while the machine is suspended.
+/// Returns the milliseconds of a monotonic clock that counts the time in which the machine
+/// is suspended.
 ///
-/// The usual steady clock does not count a suspension: a leader that was suspended
-/// for seconds would wake believing that its quorum answered just now, and answer
-/// reads from a state that others have long replaced.
+/// The usual monotonic clock stops during a suspension. A leader that was suspended for
+/// seconds would then believe that its quorum answered just now, and answer reads from a
+/// state that another leader has long replaced.
 pub fn steady_ms() -> u64 {
     let now = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(now.tv_sec).unwrap_or(0);
--- a/src/control/worker.rs
+++ b/src/control/worker.rs
@@ -2,17 +2,17 @@
 
 use super::{Phase, Report};
 
-/// A worker's incarnation as the replicated state knows it.
+/// An incarnation of a worker in the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Worker {
-    /// What it said when it was taken in; only the phase changes after that.
+    /// The worker's first report; only the phase is updated afterwards.
     pub report: Report,
-    /// Whether it said that it ends; its runs may go on for a while.
+    /// Whether the worker has announced that it stops. Its runs may continue for a while.
     pub leaving: bool,
 }
 
 impl Worker {
-    /// Whether it may be given work.
+    /// Returns whether the worker may be given work.
     pub fn takes_work(&self) -> bool {
         !self.leaving && self.report.phase == Phase::Ready
     }
--- a/src/control/worker_link.rs
+++ b/src/control/worker_link.rs
@@ -1,105 +1,106 @@
 use super::{Ended, RunLoad, Running, Runs, RunsPolicy};
 use crate::jobs::{Step, TaskId};
 
-/// What the leader believes of a worker: its clock, its lease, and what runs there.
+/// The leader's view of a worker: its clock, its lease and its runs.
 ///
-/// Nothing here is durable. Another leader begins with an unconfirmed link, which
-/// takes no work until the worker has listed what it has under the new fencing
-/// token: from then on no order of an earlier leader can start anything there.
+/// Nothing here is durable. A new leader begins with unconfirmed links. A worker gets no
+/// work over such a link until it has listed its runs under the new fencing token, after
+/// which no order of an earlier leader can start anything there.
 #[derive(Debug)]
 pub struct WorkerLink {
-    /// When this leader began to care for it.
+    /// Time at which this leader created the link.
     since_ms: u64,
-    /// The worker's clock, and when it was read.
+    /// The worker's clock as it was last read, and the leader's time of that reading.
     clock: Option<(u64, u64)>,
-    /// The latest lease end that the worker may hold, on its clock.
+    /// The latest lease end that the worker may hold, on the worker's clock.
     lease_end_ms: u64,
     lease_ms: u64,
-    /// Whether it has listed everything under this leader's token.
+    /// Whether the worker has listed its runs under this leader's fencing token.
     confirmed: bool,
-    /// Ends that are durable.
+    /// Number of the last end that is durable.
     pub(super) acknowledged: u64,
-    /// Ends that are on their way into the log.
+    /// Number of the last end that is proposed to the log.
     pub(super) proposed: u64,
-    /// When the renewal under way was sent.
+    /// Time at which the open renewal was sent; `None` if no renewal is open.
     pub(super) renewal_sent_ms: Option<u64>,
-    /// How long it waits at the worker.
+    /// How long the worker holds the open renewal while there is no news (long poll).
     pub(super) renewal_wait_ms: u64,
-    /// When the next renewal is due.
+    /// Time at which the next renewal is due.
     pub(super) renew_ms: u64,
-    /// Renewals in a row that were not answered.
-    silent: u32,
-    /// The latest renewal never left.
-    unsent: bool,
-    /// No work before this: it refused some, or failed a lot.
+    /// Consecutive renewals without an answer.
+    unanswered_renewals: u32,
+    /// Whether the latest renewal was never sent.
+    last_renewal_unsent: bool,
+    /// End of the cooldown after refused orders or many failures; until then the worker
+    /// gets no work.
     cooling_until_ms: u64,
-    /// Failures of distinct runs lately.
+    /// Recent failures of distinct runs, decaying with time.
     failures: f64,
     failures_at_ms: u64,
-    /// The runs that the replicated state has there.
+    /// The runs that the replicated state has on the worker.
     pub(super) runs: Runs,
 }
 
-/// What the leader knows of one run.
+/// The leader's view of one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunView {
-    /// How far the orders are.
+    /// State of the orders for the run.
     pub phase: RunPhase,
-    /// How far it is up, 0 to 100, as listed last.
+    /// Progress as last listed, 0 to 100; for a lasting task, how far it has started up.
     pub percent: u8,
-    /// Its tail latency or its processor use, as listed last.
+    /// Tail latency or processor use as last listed.
     pub gauge: Option<u64>,
-    /// When it was listed last.
+    /// Time at which the renewal was sent that listed the run last.
     pub listed_ms: Option<u64>,
-    /// The share of its speed that it was given last.
+    /// Share of its full speed that the run was last allowed, in percent.
     pub share_percent: u8,
-    /// How its progress went; none before it was listed.
+    /// Changes of its progress; `None` before it was first listed.
     pub progress: Option<Progress>,
-    /// What it takes of the worker.
+    /// Load that the run puts on the worker.
     pub load: RunLoad,
-    /// When it was placed, in milliseconds since 1970, and how long it should take; none
-    /// of a task that lasts.
+    /// Time of placement in milliseconds since 1970 and expected run time in milliseconds;
+    /// `None` for a lasting task.
     pub expected: Option<(u64, u64)>,
 }
 
-/// How the progress of a run went.
+/// The last change in a run's progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// When it was listed with more progress than before.
+    /// Time at which the run was first listed with its current progress.
     pub changed_ms: u64,
 }
 
-/// How far the orders for a run are.
+/// State of the orders for a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunPhase {
-    /// An earlier leader's; whether it ever started is not known.
+    /// An earlier leader placed the run; it is unknown whether it ever started.
     Inherited,
-    /// A start is on its way.
+    /// A start order is in flight.
     Starting {
-        /// Starts that were not answered.
+        /// Number of earlier start orders without an answer.
         unanswered: u32,
     },
-    /// It runs.
+    /// The run was confirmed by the worker.
     Running {
-        /// Since when, at the latest.
+        /// Time of the confirmation; the run began no later.
         since_ms: u64,
     },
-    /// It is to be stopped; an order may be on its way.
+    /// The run is to be stopped.
     Stopping {
-        /// Whether an order is on its way.
+        /// Whether a stop order is in flight.
         ordered: bool,
-        /// When to order it again.
+        /// Time at which to send the stop order again.
         again_ms: u64,
     },
-    /// The worker has taken the stop: it will not start any more.
+    /// The worker has accepted the stop order and will not start the run any more.
     Stopped {
-        /// When.
+        /// Time at which the leader learned of it.
         at_ms: u64,
     },
 }
 
 impl RunView {
-    /// One in this phase, not listed yet.
+    /// Creates the view of a run that was not listed yet.
     pub fn new(phase: RunPhase, load: RunLoad) -> Self {
         Self {
             phase,
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Notes when a run of a task of this step was placed and how long it should take.
-    pub fn expect(&mut self, step: &Step, placed_unix_ms: u64, takes_ms: u64) {
+    /// Sets the time of placement and the expected run time, unless the step is lasting.
+    pub fn set_expected(&mut self, step: &Step, placed_unix_ms: u64, takes_ms: u64) {
         self.expected = (!step.lasting).then_some((placed_unix_ms, takes_ms));
     }
 
@@ -126,7 +127,7 @@
         self.percent = percent;
     }
 
-    /// Whether a stop was ordered.
+    /// Returns whether the run is to be stopped or was stopped.
     pub fn is_stopping(&self) -> bool {
         matches!(
             self.phase,
@@ -134,34 +135,37 @@
         )
     }
 
-    /// Whether it is at work, as far as is known.
+    /// Returns whether the run was listed lately as running and fully started.
     pub fn is_at_work(&self, now_ms: u64) -> bool {
         let running = matches!(self.phase, RunPhase::Running { .. });
-        let recent = self.listed_ms.is_some_and(|at| now_ms < at + VIEW_MS);
+        let recent = self
+            .listed_ms
+            .is_some_and(|at| now_ms < at + LISTING_VALID_MS);
         running && recent && self.percent >= 100
     }
 }
 
-/// Age up to which a listing says what is at work: two renewals.
-const VIEW_MS: u64 = 2_500;
-/// The worker's clock runs slower than the leader's by 2 % at most, as promised.
-const SLOWEST_PERCENT: u64 = 98;
-/// Added to a lease that an earlier leader granted, whose end is not known: its
-/// estimate of the worker's clock was off by no more than a call takes.
-const LEASE_DOUBT_MS: u64 = 400;
-/// Pauses after renewals that were not answered: the first retry is quick, for a
-/// connection that broke; later ones cost little while a worker is down.
-const RETRY_MS: [u64; 4] = [50, 200, 500, 1_000];
-/// A worker that was not heard for so much longer than a renewal waits there gets no
-/// work: an answer takes a fraction of it.
-const SILENT_MS: u64 = 1_200;
-/// Ends that a worker lists at once, as the platform sets it.
-const ENDS_LISTED_MAX: usize = 500;
-/// Failures fade by half in this time.
-const FAILURES_HALVE_MS: f64 = 6_000.0;
+/// Age up to which a listing shows that a run is at work: two renewals.
+const LISTING_VALID_MS: u64 = 2_500;
+/// Slowest rate of a worker's clock relative to the leader's. Workers guarantee a deviation
+/// of at most 2 %.
+const MIN_CLOCK_RATE_PERCENT: u64 = 98;
+/// Margin added to a lease of unknown end that an earlier leader granted. That leader's
+/// estimate of the worker's clock was off by at most the duration of a call.
+const INHERITED_LEASE_MARGIN_MS: u64 = 400;
+/// Backoff after unanswered renewals. The first retry is quick, in case only a connection
+/// broke; later ones are rare enough to cost little while a worker is down.
+const RETRY_DELAYS_MS: [u64; 4] = [50, 200, 500, 1_000];
+/// Time beyond the long poll of a renewal after which a silent worker gets no work. An
+/// answer normally takes a fraction of it.
+const MAX_SILENCE_MS: u64 = 1_200;
+/// Maximum number of ends that a worker lists in one answer; set by the platform.
+const LISTED_ENDS_MAX: usize = 500;
+/// Half-life of the recent failures of a worker.
+const FAILURES_HALF_LIFE_MS: f64 = 6_000.0;
 
 impl WorkerLink {
-    /// A link that this leader begins; runs may be there from earlier leaders.
+    /// Creates an unconfirmed link; the worker may have runs of earlier leaders.
     pub fn new(now_ms: u64, lease_ms: u64) -> Self {
         Self {
             since_ms: now_ms,
@@ -174,8 +178,8 @@
             renewal_sent_ms: None,
             renewal_wait_ms: 0,
             renew_ms: now_ms,
-            silent: 0,
-            unsent: false,
+            unanswered_renewals: 0,
+            last_renewal_unsent: false,
             cooling_until_ms: 0,
             failures: 0.0,
             failures_at_ms: now_ms,
@@ -183,30 +187,33 @@
         }
     }
 
-    /// Whether it may get work now.
+    /// Returns whether the worker may get work now.
     pub fn takes_work(&self, now_ms: u64) -> bool {
         self.confirmed && self.is_heard(now_ms) && now_ms >= self.cooling_until_ms
     }
 
-    /// Whether it was heard lately.
+    /// Returns whether the worker has answered lately.
     pub fn is_heard(&self, now_ms: u64) -> bool {
-        let silent_ms = self.renewal_wait_ms + SILENT_MS;
-        let heard = self.clock.is_some_and(|(_, at)| now_ms < at + silent_ms);
-        heard && self.silent < 2
+        let max_silence_ms = self.renewal_wait_ms + MAX_SILENCE_MS;
+        let heard = self
+            .clock
+            .is_some_and(|(_, at)| now_ms < at + max_silence_ms);
+        heard && self.unanswered_renewals < 2
     }
 
-    /// When it was heard last, if ever.
+    /// Returns the time of the worker's last answer, if there was one.
     pub fn heard_ms(&self) -> Option<u64> {
         self.clock.map(|(_, at_ms)| at_ms)
     }
 
-    /// Whether it has listed everything under this leader's token.
+    /// Returns whether the worker has listed its runs under this leader's fencing token.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed
     }
 
-    /// The lease end for an order that leaves now; none while the worker's clock is
-    /// not known. It counts from then on, answered or not.
+    /// Returns the lease end to send with an order now, on the worker's clock; `None` while
+    /// that clock is unknown. The lease counts as granted whether or not the order is
+    /// answered.
     pub fn grant(&mut self, now_ms: u64) -> Option<u64> {
         let (clock_ms, at_ms) = self.clock?;
         let end_ms = clock_ms + now_ms.saturating_sub(at_ms) + self.lease_ms;
@@ -214,71 +221,73 @@
         Some(end_ms)
     }
 
-    /// The lease end for the next renewal; none for a worker that does not answer.
+    /// Returns the lease end to send with the next renewal; `None` if the previous renewal
+    /// was not answered or never sent.
     ///
-    /// A renewal that is not answered may still arrive and extend the lease. If every
-    /// retry carried a later end, the lease of a lost worker would never certainly run
-    /// out, and its tasks would not start elsewhere. The same holds after a renewal that
-    /// never left: the worker may be lost while its renewals do not get their turn.
+    /// An unanswered renewal may still arrive and extend the lease. If every retry carried
+    /// a later end, the lease of a lost worker would never certainly expire, and its tasks
+    /// would not start elsewhere. The same holds after a renewal that was never sent,
+    /// because the worker may be lost while its renewals are held back.
     pub fn renewal_end(&mut self, now_ms: u64) -> Option<u64> {
-        if self.silent > 0 || self.unsent {
+        if self.unanswered_renewals > 0 || self.last_renewal_unsent {
             return None;
         }
         self.grant(now_ms)
     }
 
-    /// Whether every lease that the worker may hold has run out for certain, even
-    /// if its clock is the slowest that may be.
+    /// Returns whether every lease that the worker may hold has certainly expired, even if
+    /// its clock runs at the slowest permitted rate.
     pub fn has_lapsed(&self, now_ms: u64) -> bool {
         match self.clock {
             Some((clock_ms, at_ms)) => {
-                let passed_ms = now_ms.saturating_sub(at_ms) * SLOWEST_PERCENT / 100;
+                let passed_ms = now_ms.saturating_sub(at_ms) * MIN_CLOCK_RATE_PERCENT / 100;
                 clock_ms + passed_ms > self.lease_end_ms
             }
             None => {
-                let doubt_ms = self.lease_ms + LEASE_DOUBT_MS;
-                now_ms > self.since_ms + doubt_ms * 100 / SLOWEST_PERCENT
+                let max_lease_ms = self.lease_ms + INHERITED_LEASE_MARGIN_MS;
+                now_ms > self.since_ms + max_lease_ms * 100 / MIN_CLOCK_RATE_PERCENT
             }
         }
     }
 
-    /// Takes its clock from an answer.
+    /// Records the worker's clock from an answer.
     ///
-    /// The answer was on its way for a while, longer if a follower carried it: the clock is
-    /// taken to be behind what it is by then, and never ahead. All that is built on it errs
-    /// to the safe side for that. [`Self::grant`] counts from the clock that is believed,
-    /// so a lease ends sooner than meant, and its end is remembered as the worker was told
-    /// it; [`Self::has_lapsed`] waits until the clock that is believed has passed that end,
-    /// which the worker's own has done before. An order that arrives late carries the end
-    /// of its sending: being late extends nothing.
+    /// The answer took some time to arrive, more if a follower carried it, so the recorded
+    /// clock is behind the worker's clock and never ahead. Both uses are safe in this case:
+    /// [`Self::grant`] counts from the recorded clock, so a lease ends earlier than
+    /// intended, and its end is stored as it was sent to the worker. [`Self::has_lapsed`]
+    /// waits until the recorded clock has passed that end, which the worker's own clock has
+    /// done before. An order that arrives late carries the lease end of the time of its
+    /// sending, so a delay extends nothing.
     pub fn heard(&mut self, now_ms: u64, clock_ms: u64) {
         if self.clock.is_none() {
-            // What an earlier leader granted ends by then.
-            self.lease_end_ms = clock_ms + self.lease_ms + LEASE_DOUBT_MS;
+            // Every lease that an earlier leader granted ends by then.
+            self.lease_end_ms = clock_ms + self.lease_ms + INHERITED_LEASE_MARGIN_MS;
         }
-        // Answers may overtake each other.
+        // Answers may arrive out of order.
         if self.clock.is_none_or(|(known_ms, _)| clock_ms >= known_ms) {
             self.clock = Some((clock_ms, now_ms));
         }
     }
 
-    /// A renewal was not answered.
+    /// Records that a renewal was not answered, and schedules a retry with backoff.
     pub fn renewal_failed(&mut self, now_ms: u64) {
         self.renewal_sent_ms = None;
-        let step = (self.silent as usize).min(RETRY_MS.len() - 1);
-        self.renew_ms = now_ms + RETRY_MS[step];
-        self.silent = self.silent.saturating_add(1);
+        let step = (self.unanswered_renewals as usize).min(RETRY_DELAYS_MS.len() - 1);
+        self.renew_ms = now_ms + RETRY_DELAYS_MS[step];
+        self.unanswered_renewals = self.unanswered_renewals.saturating_add(1);
     }
 
-    /// A renewal never left: that says nothing of the worker, which is asked again.
+    /// Records that a renewal was never sent. This says nothing about the worker, so the
+    /// renewal is retried soon.
     pub fn renewal_not_sent(&mut self, now_ms: u64) {
         self.renewal_sent_ms = None;
-        self.renew_ms = now_ms + RETRY_MS[0];
-        self.unsent = true;
+        self.renew_ms = now_ms + RETRY_DELAYS_MS[0];
+        self.last_renewal_unsent = true;
     }
 
-    /// The renewal that left at `sent_ms` was answered: takes the listing. Returns the
-    /// runs that provably are not there and will not start.
+    /// Records the answer to the renewal that was sent at `sent_ms`. Returns the runs that
+    /// provably are not on the worker and will not start there.
     pub fn listed(
         &mut self,
         now_ms: u64,
@@ -291,24 +300,25 @@
             self.renewal_sent_ms = None;
         }
         self.heard(now_ms, clock_ms);
-        self.silent = 0;
-        self.unsent = false;
+        self.unanswered_renewals = 0;
+        self.last_renewal_unsent = false;
         self.confirmed = true;
         for run in running {
             if let Some(view) = self.runs.get_mut(&(run.task, run.attempt)) {
                 view.note_progress(now_ms, run.percent);
                 view.gauge = run.gauge;
-                // A leader that is behind may read it late: it is as old as the question.
+                // An overloaded leader may read the answer late, so the listing is taken to
+                // be as old as the renewal.
                 view.listed_ms = Some(sent_ms);
                 if matches!(view.phase, RunPhase::Inherited | RunPhase::Starting { .. }) {
                     view.phase = RunPhase::Running { since_ms: now_ms };
                 }
             }
         }
-        // Ends beyond these are listed once those before them are acknowledged. A run whose
-        // end is among them is in neither list: taken for absent it would start once more,
-        // after an end that is acknowledged later.
-        if ended.len() >= ENDS_LISTED_MAX {
+        // The list of ends is full: further ends are listed once these are acknowledged. A
+        // run with such an end is in neither list. If it counted as absent, the task would
+        // start again although its end is acknowledged later.
+        if ended.len() >= LISTED_ENDS_MAX {
             return Vec::new();
         }
         let listed = |key: &(TaskId, u32)| {
@@ -331,43 +341,43 @@
             .collect()
     }
 
-    /// What is known of a run, to change.
+    /// Returns the leader's view of a run for changes.
     pub fn run_mut(&mut self, task: TaskId, attempt: u32) -> Option<&mut RunView> {
         self.runs.get_mut(&(task, attempt))
     }
 
-    /// Gives it no work for a while.
+    /// Starts or extends the worker's cooldown, in which it gets no work.
     pub fn cool(&mut self, now_ms: u64, for_ms: u64) {
         self.cooling_until_ms = self.cooling_until_ms.max(now_ms + for_ms);
     }
 
-    /// Notes that a run failed there.
+    /// Records that a run failed on the worker.
     ///
-    /// A worker that fails everything at once looks the freest of all and draws all
-    /// work to itself: jobs use up their attempts there within a second. So it
-    /// rests after a few failures.
+    /// A worker on which every run fails at once always has the most free room and attracts
+    /// all work, so that jobs use up their attempts within a second. Therefore a few
+    /// failures start a cooldown.
     pub fn run_failed(&mut self, now_ms: u64, policy: &RunsPolicy) {
-        self.fade(now_ms);
+        self.decay_failures(now_ms);
         self.failures += 1.0;
         if policy.failures_max > 0.0 && self.failures >= policy.failures_max {
             self.cool(now_ms, policy.failures_rest_ms);
         }
     }
 
-    /// Notes that a run was done there: it works.
+    /// Records that a run completed on the worker, which halves its failures.
     pub fn run_done(&mut self, now_ms: u64) {
-        self.fade(now_ms);
+        self.decay_failures(now_ms);
         self.failures *= 0.5;
     }
 
-    /// Recent failures, fading.
+    /// Returns the number of recent failures as of the last run that ended.
     pub fn failures(&self) -> f64 {
         self.failures
     }
 
-    fn fade(&mut self, now_ms: u64) {
+    fn decay_failures(&mut self, now_ms: u64) {
         let passed_ms = now_ms.saturating_sub(self.failures_at_ms) as f64;
-        self.failures *= 0.5_f64.powf(passed_ms / FAILURES_HALVE_MS);
+        self.failures *= 0.5_f64.powf(passed_ms / FAILURES_HALF_LIFE_MS);
         self.failures_at_ms = now_ms;
     }
 }
--- a/src/control/workers_by_address.rs
+++ b/src/control/workers_by_address.rs
@@ -4,17 +4,18 @@
 use super::Worker;
 use crate::model::InstanceName;
 
-/// The workers by the address where they take orders: two while one is over and its
-/// successor is there already.
+/// Index of the workers by the address at which they take orders. An address may have two
+/// workers: one that has ended and its successor.
 ///
-/// It follows from the workers and is no part of a snapshot. Without it each report that
-/// changes something walks all workers: when a wave or a cut ends, as many reports come as
-/// there are workers, and calls and renewals wait for as many walks.
+/// The index is derived from the workers and is not part of a snapshot. Without it each
+/// report with a change requires a scan of all workers. When a wave or a network partition
+/// ends, every worker sends such a report, and calls and renewals would wait for one scan
+/// per worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkersByAddress(BTreeMap<SocketAddr, BTreeSet<InstanceName>>);
 
 impl WorkersByAddress {
-    /// All these workers.
+    /// Builds the index of these workers.
     pub fn of<'a>(workers: impl Iterator<Item = (&'a InstanceName, &'a Worker)>) -> Self {
         let mut all = Self::default();
         for (name, worker) in workers {
@@ -23,13 +24,13 @@
         all
     }
 
-    /// A worker is there.
+    /// Adds a worker at an address.
     pub fn add(&mut self, address: SocketAddr, worker: &InstanceName) {
         let workers = self.0.entry(address).or_default();
         workers.insert(worker.clone());
     }
 
-    /// A worker is not there any more.
+    /// Removes a worker from an address.
     pub fn remove(&mut self, address: SocketAddr, worker: &InstanceName) {
         if let Some(workers) = self.0.get_mut(&address) {
             workers.remove(worker);
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Who is there.
+    /// Returns the workers at an address.
     pub fn at(&self, address: SocketAddr) -> impl Iterator<Item = &InstanceName> {
         self.0.get(&address).into_iter().flatten()
     }
--- a/tests/control/carriers.rs
+++ b/tests/control/carriers.rs
@@ -217,7 +217,7 @@
     let mut carriers = Carriers::default();
     carriers.update(1_000, &heard, 9);
     (0..400)
-        .map(|number| carriers.of(&worker(number)).unwrap().clone())
+        .map(|number| carriers.carrier_of(&worker(number)).unwrap().clone())
         .collect()
 }
 
@@ -246,7 +246,7 @@
     let mut carriers = Carriers::default();
     let mut carrying = |heard: &[_]| -> BTreeSet<EntryName> {
         carriers.update(1_000, heard, 2);
-        let of = |number| carriers.of(&worker(number)).unwrap().clone();
+        let of = |number| carriers.carrier_of(&worker(number)).unwrap().clone();
         (0..400).map(of).collect()
     };
     assert_eq!(carrying(&heard), BTreeSet::from([name(1), name(2)]));
@@ -261,13 +261,14 @@
 fn a_follower_that_lags_gets_no_orders() {
     let (one, two) = (name(1), name(2));
     let mut carriers = Carriers::default();
-    let own = |carriers: &Carriers| (0..50).all(|n| carriers.of(&worker(n)).is_none());
+    let all_direct =
+        |carriers: &Carriers| (0..50).all(|n| carriers.carrier_of(&worker(n)).is_none());
     carriers.update(1_000, &[(&one, STAMP, 400), (&two, STAMP, 20)], 9);
-    assert!((0..50).all(|n| carriers.of(&worker(n)) == Some(&two)));
+    assert!((0..50).all(|n| carriers.carrier_of(&worker(n)) == Some(&two)));
     carriers.update(1_100, &[(&one, STAMP, 400), (&two, STAMP, 400)], 9);
-    assert!(own(&carriers), "the leader calls them itself");
+    assert!(all_direct(&carriers), "the leader calls them itself");
     carriers.update(1_200, &[(&one, STAMP, 20), (&two, STAMP, 20)], 9);
-    assert!(!own(&carriers));
+    assert!(!all_direct(&carriers));
 }
 
 /// A follower answers the log but gives no outcome, as one of another release would: its
@@ -279,15 +280,18 @@
     let mut carriers = Carriers::default();
     carriers.update(1_000, &heard, 9);
     for id in 1..=6 {
-        assert_eq!(carriers.give(order(id)), None);
+        assert_eq!(carriers.assign(order(id)), None);
         assert_eq!(carriers.messages(1_000 + id, 3).len(), 1);
     }
     assert!(carriers.update(1_400, &heard, 9).orders.is_empty());
     let losses = carriers.update(2_060, &heard, 9);
-    assert_eq!((losses.orders, losses.out), (vec![1, 2, 3, 4, 5, 6], 1));
-    assert_eq!(carriers.of(&worker(1)), None);
+    assert_eq!(
+        (losses.orders, losses.excluded),
+        (vec![1, 2, 3, 4, 5, 6], 1)
+    );
+    assert_eq!(carriers.carrier_of(&worker(1)), None);
     carriers.update(2_060 + 3_000, &heard, 9);
-    assert_eq!(carriers.of(&worker(1)), Some(&one));
+    assert_eq!(carriers.carrier_of(&worker(1)), Some(&one));
 }
 
 /// A follower dies, or its process is another one by now: all that it had open counts as
@@ -299,13 +303,13 @@
     for (stamp, age_ms) in [(STAMP, 700), (restarted, 20)] {
         let mut carriers = Carriers::default();
         carriers.update(1_000, &[(&one, STAMP, 20)], 9);
-        carriers.give(order(1));
-        carriers.give(order(2));
+        carriers.assign(order(1));
+        carriers.assign(order(2));
         carriers.messages(1_000, 3);
         let losses = carriers.update(1_300, &[(&one, stamp, age_ms)], 9);
-        assert_eq!((losses.orders, losses.out), (vec![1, 2], 1));
-        assert_eq!(carriers.of(&worker(1)), None);
-        assert!(!carriers.answered(&one, 1));
+        assert_eq!((losses.orders, losses.excluded), (vec![1, 2], 1));
+        assert_eq!(carriers.carrier_of(&worker(1)), None);
+        assert!(!carriers.record_outcome(&one, 1));
     }
 }
 
@@ -317,14 +321,14 @@
     let heard = [(&one, STAMP, 20)];
     let mut carriers = Carriers::default();
     carriers.update(1_000, &heard, 9);
-    carriers.give(order(1));
-    carriers.give(order(2));
+    carriers.assign(order(1));
+    carriers.assign(order(2));
     carriers.messages(1_000, 3);
-    assert!(!carriers.answered(&two, 1));
-    assert!(carriers.answered(&one, 1));
-    assert!(!carriers.answered(&one, 1));
+    assert!(!carriers.record_outcome(&two, 1));
+    assert!(carriers.record_outcome(&one, 1));
+    assert!(!carriers.record_outcome(&one, 1));
     assert_eq!(carriers.update(2_500, &heard, 9).orders, [2]);
-    assert!(!carriers.answered(&one, 2));
+    assert!(!carriers.record_outcome(&one, 2));
 }
 
 /// A worker that a follower did not reach is called by the leader itself for a while.
@@ -334,9 +338,9 @@
     let heard = [(&one, STAMP, 20)];
     let mut carriers = Carriers::default();
     carriers.update(1_000, &heard, 9);
-    carriers.unreached(1_000, &worker(1));
-    assert_eq!(carriers.give(order(1)), Some(order(1)));
-    assert_eq!(carriers.of(&worker(2)), Some(&one));
+    carriers.record_unreachable(1_000, &worker(1));
+    assert_eq!(carriers.assign(order(1)), Some(order(1)));
+    assert_eq!(carriers.carrier_of(&worker(2)), Some(&one));
     carriers.update(4_000, &heard, 9);
-    assert_eq!(carriers.of(&worker(1)), Some(&one));
+    assert_eq!(carriers.carrier_of(&worker(1)), Some(&one));
 }
--- a/tests/control/estimates.rs
+++ b/tests/control/estimates.rs
@@ -22,7 +22,7 @@
     let first = of_queue(1);
     assert_eq!(estimates.run_times_ms(&first), [300, 300]);
     for _ in 0..40 {
-        estimates.ended(&first, 0, 900);
+        estimates.record_run(&first, 0, 900);
     }
     let shown = estimates.run_times_ms(&first);
     assert_eq!(shown[0], 900);
@@ -51,7 +51,7 @@
             3,
             0,
         );
-        estimates.ended(&one, 0, 1_000);
+        estimates.record_run(&one, 0, 1_000);
     }
     let usually = estimates.factor("quick");
     assert!((0.85..1.15).contains(&usually), "{usually}");
--- a/tests/control/pool.rs
+++ b/tests/control/pool.rs
@@ -32,8 +32,8 @@
             let mut report = worker.report();
             report.rack = Some(format!("r{}", port / 2).as_str().into());
             apply(&mut state, Change::Report(Arc::new(report.clone())));
-            fleet.meet(NOW_MS, &report.worker);
-            hear(&mut fleet, &format!("i-{port}"));
+            fleet.add_link(NOW_MS, &report.worker);
+            mark_heard(&mut fleet, &format!("i-{port}"));
         }
         Self {
             state,
@@ -51,10 +51,10 @@
     }
 
     /// Begins to lead anew: what is placed runs on its workers, which are all heard just now.
-    pub fn follow(&mut self) {
+    pub fn restart_leader(&mut self) {
         self.fleet = Fleet::new(NOW_MS, 5_000, &self.state, &Sizes::default());
         for name in self.state.workers().keys() {
-            hear(&mut self.fleet, name.as_str());
+            mark_heard(&mut self.fleet, name.as_str());
         }
         self.scheduler = Scheduler::default();
         for job in self.state.active() {
@@ -95,7 +95,7 @@
     }
 }
 
-fn hear(fleet: &mut Fleet, name: &str) {
+fn mark_heard(fleet: &mut Fleet, name: &str) {
     let link: &mut WorkerLink = fleet.link_mut(&name.into()).unwrap();
     link.listed(NOW_MS, NOW_MS, 77, &[], &[]);
 }
--- a/tests/control/scheduler.rs
+++ b/tests/control/scheduler.rs
@@ -315,7 +315,7 @@
             worker: start.worker,
         });
     }
-    pool.follow();
+    pool.restart_leader();
     let wide = Step {
         gang: true,
         rack_local: true,
