--- a/tests/control/backlog.rs
+++ b/tests/control/backlog.rs
@@ -1,4 +1,4 @@
-//! The order of what waits, kept from pass to pass.
+//! The backlog of waiting steps, whose order is kept between passes.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 
 const WORKER: &str = "i-elsewhere";
 
-/// What one random number does to a task of one of the jobs.
+/// Derives a change of a task of one of the jobs from a random number.
 fn random_change(random: u32, jobs: u64, pool: &Pool) -> Change {
     let id = JobId::from(u64::from(random) % jobs);
     let task = TaskId {
@@ -51,16 +51,16 @@
     }
 }
 
-/// The tasks that a pass starts.
-fn tasks(pool: &mut Pool) -> BTreeSet<TaskId> {
+/// Returns the tasks that a pass starts.
+fn started_tasks(pool: &mut Pool) -> BTreeSet<TaskId> {
     pool.pass().into_iter().map(|start| start.task).collect()
 }
 
-/// An accepted job is never run: something of it changed, and the order that is kept from
-/// pass to pass was not told. Whatever changes, a scheduler that has followed all along
-/// starts what one starts that ranks everything anew.
+/// Guards against an accepted job that never runs because a change of it did not reach the
+/// backlog. After any changes, a scheduler that was updated incrementally starts the same
+/// tasks as one that ranks all jobs from scratch.
 #[quickcheck]
-fn what_waits_is_the_same_as_ranked_anew(changes: Vec<Vec<u32>>) {
+fn a_kept_backlog_equals_one_ranked_from_scratch(changes: Vec<Vec<u32>>) {
     const JOBS: u64 = 60;
     let mut pool = Pool::new(40);
     for id in 0..JOBS {
@@ -78,45 +78,45 @@
         }
         pool.refresh();
     }
-    let followed = tasks(&mut pool);
+    let incremental = started_tasks(&mut pool);
     pool.scheduler = Scheduler::default();
     for id in 0..JOBS {
         pool.scheduler.touch(JobId::from(id));
     }
-    assert_eq!(followed, tasks(&mut pool));
+    assert_eq!(incremental, started_tasks(&mut pool));
 }
 
-/// Callers of a small job wait for ever beside a free worker: jobs that no worker could
-/// ever hold stand before it in the order, and a pass that gives up behind so many of
-/// them never comes to it.
+/// Guards against a small job that waits for ever beside a free worker: jobs that no worker
+/// can hold rank before it, and a pass stops after a number of consecutive misses without
+/// reaching it.
 #[test]
-fn a_job_that_fits_is_come_to_behind_any_number_that_never_will() {
+fn a_job_that_fits_is_reached_behind_any_number_that_never_fit() {
     let mut pool = Pool::new(1);
     for id in 0..1_000 {
-        let mut never = step(1);
-        never.demand.cpu_milli = 17_000;
-        never.estimate_ms = 1;
-        pool.accept(id, job(vec![never]));
+        let mut too_large = step(1);
+        too_large.demand.cpu_milli = 17_000;
+        too_large.estimate_ms = 1;
+        pool.accept(id, job(vec![too_large]));
     }
     pool.accept(5_000, job(vec![step(1)]));
     let started = (0..20).any(|_| !pool.pass().is_empty());
     assert!(started);
 }
 
-/// Small and large jobs stand in two rows of one order, and a pass that gives up has come
-/// to different places in them. Where the next one went on from one place for both, it
-/// left out what the other row still had before it, in each round the same jobs: accepted,
-/// with a free worker, and never run.
+/// Small and large jobs are kept in two groups, and a pass that stops early has reached
+/// different ranks in them. When the next pass resumed from a single position, it skipped
+/// the steps in between in the other group, in every round the same ones, so that accepted
+/// jobs never ran beside a free worker.
 #[test]
-fn a_job_that_fits_is_come_to_in_either_row_of_small_and_large_ones() {
+fn a_job_that_fits_is_reached_among_small_and_large_jobs() {
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut pool = Pool::new(1);
-        let own = rng.random_range(0..300);
+        let fitting = rng.random_range(0..300);
         for id in 0..300 {
             let mut some = step(rng.random_range(1..12));
             some.estimate_ms = rng.random_range(50..2_000);
-            some.demand.cpu_milli = match id == own {
+            some.demand.cpu_milli = match id == fitting {
                 true => 15_000,
                 false => rng.random_range(17_000..60_000),
             };
@@ -127,21 +127,21 @@
     }
 }
 
-/// A worker gets two tasks of a step of which it may have one. A pass that gives up on what
-/// finds no room walks the rest from where the last one ended, here from the beginning, and
-/// comes to a step again of which it has placed some tasks already. It knew only the starts
-/// of earlier passes, so it placed the same tasks once more, and others beside them.
+/// Guards against a worker with more tasks of a step than the step's limit allows. After too
+/// many misses a pass resumes where the last one stopped, here at the beginning, and visits
+/// a step again of which it has already placed tasks. When it only knew the starts of
+/// earlier passes, it placed the same tasks again and others beside them.
 #[test]
-fn a_step_that_a_pass_comes_to_twice_is_placed_once() {
+fn a_step_visited_twice_in_a_pass_is_placed_once() {
     let mut pool = Pool::new(3);
     let mut spread = step(13);
     spread.per_worker_max = Some(1);
     spread.estimate_ms = 1;
     pool.accept(1, job(vec![spread]));
     for id in 100..400 {
-        let mut never = step(1);
-        never.demand.cpu_milli = 17_000;
-        pool.accept(id, job(vec![never]));
+        let mut too_large = step(1);
+        too_large.demand.cpu_milli = 17_000;
+        pool.accept(id, job(vec![too_large]));
     }
     let starts = pool.pass();
     let tasks: BTreeSet<_> = starts.iter().map(|start| start.task).collect();
--- a/tests/control/carriers.rs
+++ b/tests/control/carriers.rs
@@ -9,7 +9,7 @@
 
 use crate::world::{World, address, job, lasting, name, step};
 
-/// In a large fleet all orders leave from followers, each with a part of the workers.
+/// In a large fleet followers send all orders, each to a part of the workers.
 #[test]
 fn followers_carry_all_orders() {
     let mut world = World::carried(500, 8, 8);
@@ -25,9 +25,9 @@
     assert_eq!(world.counted("order-not-carried"), 0);
 }
 
-/// A small fleet's leader calls its workers itself: the way by a follower costs more.
+/// In a small fleet the leader calls the workers itself, as carriers would cost more.
 #[test]
-fn a_small_fleet_is_called_by_its_leader() {
+fn a_small_fleet_is_called_by_the_leader_itself() {
     let mut world = World::new(501, 4, 4);
     world.submit(1, "quick", 1, job(vec![step(8)]));
     world.run_ms(3_000);
@@ -36,8 +36,8 @@
     }
 }
 
-/// A follower is killed while it carries orders: what it has open will have no outcome.
-/// Its workers are called by others, and jobs come to their end as if nothing were.
+/// A follower is killed while it carries orders, so its open orders will have no outcome.
+/// Others take over its workers, and all jobs complete in time.
 #[test]
 fn jobs_end_when_a_carrier_is_killed() {
     for seed in 510..516 {
@@ -59,8 +59,8 @@
     }
 }
 
-/// A follower is killed and at once started again, under the same name: what its process
-/// before had open is lost, and the orders of one are not taken for those of the other.
+/// A follower is killed and restarted at once under the same name. The open orders of the
+/// old process are lost, and they must not be confused with those of the new one.
 #[test]
 fn jobs_end_when_a_carrier_restarts() {
     for seed in 520..526 {
@@ -82,10 +82,10 @@
     }
 }
 
-/// A follower reaches the leader but none of the workers, which the leader and the other
-/// follower reach: no worker is given up, and jobs go on.
+/// A follower reaches the leader but none of the workers, while the leader and the other
+/// follower reach them. No worker is given up, and all jobs complete.
 #[test]
-fn a_carrier_that_reaches_no_worker_costs_no_worker() {
+fn a_carrier_that_reaches_no_worker_loses_no_worker() {
     let mut world = World::carried(530, 6, 6);
     let follower = name(world.followers()[0]);
     for port in (1_000..1_006).chain(2_000..2_006) {
@@ -102,11 +102,11 @@
     assert_eq!(world.counted("worker-lapsed"), 0);
 }
 
-/// What the leader sends to a follower is held up for three seconds and then arrives at
-/// once, after newer orders by another way: none of it is carried out (the world checks
-/// each), and the jobs were done meanwhile.
+/// The leader's messages to a follower are delayed by three seconds and then arrive
+/// together, after newer orders that took another way. The follower carries out none of
+/// them (the world checks each order), and all jobs complete.
 #[test]
-fn orders_that_were_held_up_are_not_carried_out() {
+fn delayed_orders_are_not_carried_out() {
     let mut world = World::carried(540, 6, 6);
     let leader = world.leader().unwrap();
     let follower = name(world.followers()[0]);
@@ -128,11 +128,11 @@
     }
 }
 
-/// The leader dies while its followers carry orders for it, some to workers that do not
-/// answer. They throw away what is open, the next leader finds what runs, and starts
-/// nothing twice (checked at every start).
+/// The leader is killed while its followers carry orders to workers that do not answer. The
+/// followers abort their open orders, and the next leader finds the running tasks and starts
+/// nothing twice (the world checks every start).
 #[test]
-fn a_change_of_leader_ends_what_is_carried() {
+fn a_change_of_leader_aborts_carried_orders() {
     for seed in 550..556 {
         let mut world = World::carried(seed, 5, 5);
         for worker in world.workers.values_mut() {
@@ -162,8 +162,8 @@
     }
 }
 
-/// A follower that carries orders is stopped as planned: the leader gives it no more, and
-/// no start has to be sent again for it.
+/// A follower that carries orders is stopped as planned. The leader gives it no more orders,
+/// and none of its orders goes without an outcome.
 #[test]
 fn a_planned_stop_of_a_carrier_loses_no_order() {
     for seed in 560..566 {
@@ -210,8 +210,8 @@
     }
 }
 
-/// The carrier of each of 400 workers, while these followers answer.
-fn spread(places: &[usize]) -> Vec<EntryName> {
+/// Returns the carrier of each of 400 workers while these followers answer.
+fn carriers_of_400_workers(places: &[usize]) -> Vec<EntryName> {
     let names: Vec<EntryName> = places.iter().map(|place| name(*place)).collect();
     let heard: Vec<_> = names.iter().map(|name| (name, STAMP, 20)).collect();
     let mut carriers = Carriers::default();
@@ -221,12 +221,12 @@
         .collect()
 }
 
-/// One of five followers is lost: only its workers move, and none has much more than
-/// its part.
+/// When one of five followers is lost, only its workers move to others. No follower has
+/// much more than a fifth of the workers.
 #[test]
 fn the_loss_of_a_follower_moves_only_its_workers() {
-    let before = spread(&[1, 2, 3, 4, 5]);
-    let after = spread(&[1, 2, 4, 5]);
+    let before = carriers_of_400_workers(&[1, 2, 3, 4, 5]);
+    let after = carriers_of_400_workers(&[1, 2, 4, 5]);
     for (before, after) in before.iter().zip(&after) {
         assert!(before == after || *before == name(3));
     }
@@ -236,9 +236,9 @@
     }
 }
 
-/// As few followers carry orders as the fleet needs; another comes in for a lost one.
+/// Only as many followers carry orders as the fleet needs, and another replaces a lost one.
 #[test]
-fn no_more_followers_carry_than_are_needed() {
+fn only_as_many_followers_carry_as_are_needed() {
     let policy = CarriersPolicy { workers_each: 120 };
     assert_eq!([49, 120, 121, 350].map(|n| policy.wanted(n)), [0, 0, 2, 3]);
     let names: Vec<EntryName> = (1..=5).map(name).collect();
@@ -254,9 +254,9 @@
     assert_eq!(carrying(&heard), BTreeSet::from([name(2), name(3)]));
 }
 
-/// A follower's answers are late, as its disk is slow: by the time that it reads orders
-/// they are too old to be carried out. Given orders all the same it would refuse the starts
-/// of its part of the fleet one after the other; its workers are called by others meanwhile.
+/// A follower with a slow disk acknowledges late, and orders are too old to be carried out
+/// by the time it reads them. If it still got orders, it would refuse all starts of its part
+/// of the fleet. Others call its workers meanwhile.
 #[test]
 fn a_follower_that_lags_gets_no_orders() {
     let (one, two) = (name(1), name(2));
@@ -271,10 +271,10 @@
     assert!(!all_direct(&carriers));
 }
 
-/// A follower answers the log but gives no outcome, as one of another release would: its
-/// orders count as unanswered in time, and after some in a row it is out.
+/// A follower acknowledges the log but returns no outcomes, as one of another release may.
+/// Its orders count as unanswered in time, and after several in a row it is excluded.
 #[test]
-fn a_follower_without_outcomes_is_taken_out() {
+fn a_follower_without_outcomes_is_excluded() {
     let one = name(1);
     let heard = [(&one, STAMP, 20)];
     let mut carriers = Carriers::default();
@@ -294,10 +294,10 @@
     assert_eq!(carriers.carrier_of(&worker(1)), Some(&one));
 }
 
-/// A follower dies, or its process is another one by now: all that it had open counts as
-/// unanswered at once, as it will have no outcome, and is not waited for.
+/// A follower is lost or was restarted. All its open orders count as unanswered at once,
+/// because no outcome can arrive any more.
 #[test]
-fn what_a_lost_follower_had_open_counts_as_unanswered_at_once() {
+fn open_orders_of_a_lost_follower_count_as_unanswered_at_once() {
     let one = name(1);
     let restarted = Stamp { start: 2, ..STAMP };
     for (stamp, age_ms) in [(STAMP, 700), (restarted, 20)] {
@@ -313,10 +313,10 @@
     }
 }
 
-/// An outcome that comes after its order was counted as unanswered says nothing any more,
-/// nor does one of an instance that was not asked.
+/// An outcome is ignored if its order was already counted as unanswered, or if it comes from
+/// a follower that did not get the order.
 #[test]
-fn only_outcomes_that_are_waited_for_count() {
+fn only_outcomes_of_open_orders_count() {
     let (one, two) = (name(1), name(2));
     let heard = [(&one, STAMP, 20)];
     let mut carriers = Carriers::default();
@@ -331,9 +331,9 @@
     assert!(!carriers.record_outcome(&one, 2));
 }
 
-/// A worker that a follower did not reach is called by the leader itself for a while.
+/// The leader itself calls a worker for a while that its carrier could not reach.
 #[test]
-fn the_leader_calls_a_worker_that_its_follower_did_not_reach() {
+fn the_leader_calls_a_worker_that_its_carrier_did_not_reach() {
     let one = name(1);
     let heard = [(&one, STAMP, 20)];
     let mut carriers = Carriers::default();
--- a/tests/control/estimates.rs
+++ b/tests/control/estimates.rs
@@ -1,4 +1,4 @@
-//! Learnt run times, standstills, and the time of day.
+//! Learned run times, stalled runs, and the wall clock.
 
 use std::sync::Arc;
 
@@ -9,34 +9,34 @@
 
 use crate::world::{job, step};
 
-fn of_queue(id: u64) -> Job {
+fn quick_job(id: u64) -> Job {
     let spec = Arc::new(job(vec![step(4), step(4)]));
     Job::new(JobId::from(id), "quick".into(), "east".into(), spec, 3, 0)
 }
 
-/// Callers estimate 300 ms where tasks take 900: after some ends other jobs of the
-/// queue are known to take longer, and the step that showed it takes 900.
+/// Callers estimate 300 ms for tasks that take 900 ms. After some runs, other jobs of the
+/// queue are expected to take longer too, and the step that ran is expected to take 900 ms.
 #[test]
-fn run_times_are_learnt_from_ends() {
+fn run_times_are_learned_from_ended_runs() {
     let mut estimates = Estimates::default();
-    let first = of_queue(1);
+    let first = quick_job(1);
     assert_eq!(estimates.run_times_ms(&first), [300, 300]);
     for _ in 0..40 {
         estimates.record_run(&first, 0, 900);
     }
-    let shown = estimates.run_times_ms(&first);
-    assert_eq!(shown[0], 900);
-    let other = estimates.run_times_ms(&of_queue(2));
+    let learned = estimates.run_times_ms(&first);
+    assert_eq!(learned[0], 900);
+    let other = estimates.run_times_ms(&quick_job(2));
     assert!(other.iter().all(|ms| (750..=900).contains(ms)), "{other:?}");
     estimates.retain(|_| false);
     assert!(estimates.run_times_ms(&first)[0] < 900);
 }
 
-/// Callers' estimates are as often a quarter as four times of what a job takes. A job
-/// usually takes what is estimated; all together take half of what the estimates come to.
+/// Estimates are a quarter of the run time as often as four times it. A single job usually
+/// takes what is estimated, but all jobs together take half of the sum of the estimates.
 /// With the mean of the ratios, a pool seemed to need twice the machines that it used.
 #[test]
-fn jobs_together_take_less_than_the_mean_of_their_ratios() {
+fn the_work_factor_is_not_the_mean_of_the_ratios() {
     let mut estimates = Estimates::default();
     for id in 0..200 {
         let spec = job(vec![Step {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn no_progress_for_long_is_a_standstill() {
+fn a_run_without_progress_is_stalled() {
     let mut view = RunView::new(RunPhase::Running { since_ms: 0 }, RunLoad::default());
     let policy = RunsPolicy::default();
     assert!(!is_stalled(10_000, &view, &policy));
@@ -69,9 +69,9 @@
     assert!(is_stalled(2_700, &view, &policy));
 }
 
-/// The time of day jumps forward for some seconds and back: nothing is due early.
+/// The wall clock jumps forward for some seconds and back, and nothing becomes due early.
 #[test]
-fn a_jump_of_the_time_of_day_is_not_believed() {
+fn a_jump_of_the_wall_clock_is_ignored() {
     let mut clock = Clock::new(1_000_000, 100);
     for now_ms in (100..20_000).step_by(1_000) {
         clock.compare(now_ms, 1_000_000 + now_ms + 2_400);
--- a/tests/control/faults.rs
+++ b/tests/control/faults.rs
@@ -1,14 +1,14 @@
-//! Workers that are cut off, crash, fail, stand still or carry orders out late.
+//! Workers that are unreachable, crash, fail their runs, stall or carry out orders late.
 
 use rosemarygauge::jobs::{JobId, JobState};
 
 use crate::world::{World, address, job, lasting, step};
 
-/// A worker is cut off with a lasting task. Every renewal that is not answered might
-/// still arrive; if each carried a later end, the lease would never certainly run out
-/// and the task would not start elsewhere for as long as the cut lasts.
+/// A worker with a lasting task is cut off. Every unanswered renewal might still arrive. If
+/// each carried a later lease end, the lease would never certainly expire, and the task
+/// would not start elsewhere for as long as the partition lasts.
 #[test]
-fn the_lease_of_a_worker_that_is_cut_off_runs_out() {
+fn the_lease_of_an_unreachable_worker_expires() {
     for mut world in World::both(21, 6, 1) {
         world.submit(1, "quick", 1, lasting(5));
         world.run_ms(2_000);
@@ -24,10 +24,10 @@
     }
 }
 
-/// A worker crashes and another incarnation answers at its address: what ran there is
-/// over, and starts elsewhere without waiting for the lease.
+/// A worker crashes and a new incarnation answers at its address. The runs of the previous
+/// one have ended, and their tasks start again without waiting for the lease to expire.
 #[test]
-fn another_incarnation_frees_the_tasks_of_the_one_before() {
+fn a_new_incarnation_frees_the_tasks_of_the_previous_one() {
     for mut world in World::both(22, 3, 1) {
         for worker in world.workers.values_mut() {
             worker.run_ms = 2_500;
@@ -50,8 +50,8 @@
     }
 }
 
-/// One worker fails all that it starts, at once, and so is always free. Jobs must not
-/// use up their attempts there.
+/// One worker fails every run at once and therefore always has free room. Jobs must not use
+/// up their attempts there.
 #[test]
 fn a_worker_that_fails_everything_does_not_fail_the_jobs() {
     for mut world in World::both(23, 5, 1) {
@@ -67,10 +67,10 @@
     }
 }
 
-/// Tasks on one worker stand still while it reports that all is well: they start anew
-/// elsewhere, and their jobs end.
+/// Tasks on one worker make no progress although it reports that it is healthy. They are
+/// restarted elsewhere, and their jobs complete.
 #[test]
-fn tasks_that_stand_still_start_anew() {
+fn stalled_tasks_are_restarted() {
     for mut world in World::both(24, 4, 1) {
         world.worker(1_001).stalls = true;
         for id in 0..8 {
@@ -87,8 +87,8 @@
     }
 }
 
-/// Orders are left unanswered and carried out seconds later, after newer ones: no task
-/// runs twice (checked at every start), and all jobs end.
+/// Orders are not answered and carried out seconds later, after newer ones. No task runs
+/// twice (the world checks every start), and all jobs complete.
 #[test]
 fn late_orders_start_nothing_twice() {
     for seed in 250..256 {
@@ -112,9 +112,9 @@
     }
 }
 
-/// A cancelled job: what runs is stopped, and nothing of it starts any more.
+/// When a job is cancelled, its runs are stopped and none of its tasks starts any more.
 #[test]
-fn nothing_of_a_cancelled_job_goes_on() {
+fn a_cancelled_job_stops_and_starts_nothing() {
     for mut world in World::both(26, 3, 1) {
         for worker in world.workers.values_mut() {
             worker.run_ms = 60_000;
@@ -133,10 +133,10 @@
     }
 }
 
-/// A task that fails every time: its job is failed after as many attempts as its queue
-/// allows, and no more start.
+/// The job of a task that fails every time fails after as many attempts as its queue allows,
+/// and no further attempt starts.
 #[test]
-fn a_job_fails_after_its_attempts() {
+fn a_job_fails_after_its_last_attempt() {
     for mut world in World::both(27, 2, 1) {
         for worker in world.workers.values_mut() {
             worker.fails_all = true;
@@ -148,11 +148,12 @@
     }
 }
 
-/// All turns with a worker are taken until the time of a start is over: it has not left.
-/// Sent again twice and then stopped, as if it might arrive, it would hold its task for as
-/// long as the worker is crowded. The task starts elsewhere at once.
+/// All connections to a worker are busy until a start order times out, so the order was not
+/// sent. If it were treated like an unanswered one, which is sent again twice and then
+/// stopped, the task would wait for as long as the worker is busy. It starts elsewhere at
+/// once instead.
 #[test]
-fn a_start_that_never_left_is_placed_elsewhere_at_once() {
+fn a_start_that_was_not_sent_is_placed_elsewhere_at_once() {
     for mut world in World::both(580, 3, 3) {
         world.crowded.insert(address(1_000));
         world.submit(1, "quick", 1, job(vec![step(6)]));
@@ -167,11 +168,11 @@
     }
 }
 
-/// A start left and is held up, and what is sent after it does not leave. The first one
-/// may still arrive: the task does not start elsewhere before its worker has taken a stop
-/// (the world checks that nothing runs twice).
+/// A start order is sent and delayed, and its resends are not sent. Because the first one
+/// may still arrive, the task must not start elsewhere before the worker has accepted a stop
+/// order (the world checks that nothing runs twice).
 #[test]
-fn a_start_that_may_arrive_is_not_placed_anew_as_the_next_never_left() {
+fn a_start_that_may_arrive_is_not_placed_again_when_its_resend_is_not_sent() {
     for seed in 585..591 {
         let mut world = World::new(seed, 3, 3);
         world.late_per_mille = 1_000;
--- a/tests/control/late_starts.rs
+++ b/tests/control/late_starts.rs
@@ -1,43 +1,48 @@
-//! Starts whose placements become durable late, while what they were placed on changes.
+//! Placements that become durable late, after the state of their worker has changed.
 
 use rosemarygauge::jobs::{JobId, JobState};
 
 use crate::world::{World, address, job, name, step};
 
-/// With this sync, changes that gather take seconds to become durable, while the leader
-/// still hears its voters in time.
+/// Duration of a disk sync with which queued changes take seconds to become durable, while
+/// the leader still hears its voters in time.
 const SLOW_SYNC_MS: u64 = 150;
-/// Jobs that are handed in ahead of a placement, so that it waits for longer than a lease.
-const AHEAD: u64 = 4_500;
-/// Jobs that are handed in after it: what frees its worker's runs is not durable with it.
-const BETWEEN: u64 = 300;
+/// Jobs submitted before the placement, so that it waits for longer than a lease.
+const JOBS_BEFORE_PLACEMENT: u64 = 4_500;
+/// Jobs submitted after the placement, so that the change which frees the worker's runs
+/// becomes durable later than the placement.
+const JOBS_AFTER_PLACEMENT: u64 = 300;
 
-/// A task runs on two workers at once. Its placement waits behind thousands of changes;
-/// meanwhile its worker falls silent and the leader orders that all that runs there be
-/// freed, as its leases have run out. The placement becomes durable first: its start leaves
-/// with a new lease. Then all is freed, the start with it, and the task starts elsewhere.
+/// Guards against a task that runs on two workers at once. Its placement waits behind
+/// thousands of changes. Meanwhile its worker stops answering, its leases expire and the
+/// leader proposes to free its runs. If the start were sent when the placement becomes
+/// durable, it would carry a new lease, and then the worker's runs would be freed, including
+/// this one, and the task would start elsewhere too.
 #[test]
-fn a_start_does_not_leave_for_a_worker_whose_runs_are_about_to_be_freed() {
+fn no_start_is_sent_to_a_worker_whose_runs_are_about_to_be_freed() {
     for seed in 600..602 {
         let mut world = World::without_moves(seed, 1, 0);
         world.worker(1_000).run_ms = 60_000;
         world.submit(1, "quick", 1, job(vec![step(1)]));
         assert!(world.until(2_000, |w| w.runs.len() == 1));
         world.run_ms(500);
-        silence(&mut world, true);
+        set_cut_off(&mut world, true);
         world.run_ms(2_600);
         world.submit(1, "quick", 2, job(vec![step(1)]));
         world.run_ms(200);
         world.sync_ms = SLOW_SYNC_MS;
-        hand_in(&mut world, 0..AHEAD);
-        // Heard once, it gets the second job's task; then it is silent for good.
-        silence(&mut world, false);
+        submit_jobs(&mut world, 0..JOBS_BEFORE_PLACEMENT);
+        // After one answer the worker gets the second job's task; then it is cut off for good.
+        set_cut_off(&mut world, false);
         let lease_end_ms = world.worker(1_000).lease_end_ms;
         let port = address(1_000);
         assert!(world.until(2_000, |w| w.workers[&port].lease_end_ms > lease_end_ms));
         world.run_ms(40);
-        silence(&mut world, true);
-        hand_in(&mut world, AHEAD..AHEAD + BETWEEN);
+        set_cut_off(&mut world, true);
+        submit_jobs(
+            &mut world,
+            JOBS_BEFORE_PLACEMENT..JOBS_BEFORE_PLACEMENT + JOBS_AFTER_PLACEMENT,
+        );
         assert!(
             world.until(9_000, |w| w.counted("worker-lapsed") == 1),
             "{seed}"
@@ -53,15 +58,15 @@
     }
 }
 
-/// The only worker is cut off from all instances, or heard again.
-fn silence(world: &mut World, silent: bool) {
+/// Cuts the only worker off from all control instances, or reconnects it.
+fn set_cut_off(world: &mut World, cut_off: bool) {
     world.cut.clear();
-    if silent {
+    if cut_off {
         world.cut_worker(1_000);
     }
 }
 
-/// Its orders reach the worker, and no answer comes back.
+/// Drops the worker's answers, while orders still reach it.
 fn cut_answers(world: &mut World) {
     for place in 1..=3 {
         let pair = (address(1_000).to_string(), name(place).to_string());
@@ -69,8 +74,8 @@
     }
 }
 
-/// Hands in jobs that wait, at the leader.
-fn hand_in(world: &mut World, ids: std::ops::Range<u64>) {
+/// Submits jobs at the leader that then wait.
+fn submit_jobs(world: &mut World, ids: std::ops::Range<u64>) {
     let leader = world.leader().unwrap();
     let place = (1..=3).find(|place| name(*place) == leader).unwrap();
     for id in ids {
--- a/tests/control/pool.rs
+++ b/tests/control/pool.rs
@@ -1,4 +1,4 @@
-//! One pool of workers and what waits for it, without instances.
+//! A pool of workers and its backlog, without control instances.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 pub const NOW_MS: u64 = 50_000;
 pub const UNIX_MS: u64 = 1_700_000_000_000;
 
-/// A state with a pool of workers, and a scheduler that follows it.
+/// A replicated state with a pool of workers, and a scheduler that follows it.
 pub struct Pool {
     pub state: State,
     pub fleet: Fleet,
@@ -22,7 +22,7 @@
 }
 
 impl Pool {
-    /// So many workers of 16 cores in the pool `east`, all heard just now.
+    /// Creates the pool `east` with workers of 16 cores, all of which were heard just now.
     pub fn new(workers: u16) -> Self {
         let mut state = State::default();
         apply(&mut state, Change::Configure(Arc::new(configuration(1))));
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Carries out a change, and tells the scheduler as a leader does.
+    /// Applies a change and marks its job as changed in the scheduler, as a leader does.
     pub fn change(&mut self, change: Change) {
         if let Some(job) = change.job() {
             self.scheduler.touch(job);
@@ -50,7 +50,8 @@
         apply(&mut self.state, change);
     }
 
-    /// Begins to lead anew: what is placed runs on its workers, which are all heard just now.
+    /// Starts as a new leader: placed tasks count as running, and all workers were heard just
+    /// now.
     pub fn restart_leader(&mut self) {
         self.fleet = Fleet::new(NOW_MS, 5_000, &self.state, &Sizes::default());
         for name in self.state.workers().keys() {
--- a/tests/control/scheduler.rs
+++ b/tests/control/scheduler.rs
@@ -1,5 +1,4 @@
-//! Where tasks go, and which come first, without a network: the load it answers is
-//! named at each test.
+//! Placement of tasks on workers and the order of jobs, without a network.
 
 use std::sync::Arc;
 
@@ -19,8 +18,8 @@
     names
 }
 
-/// Few tasks in a large pool: they share a worker, so that others stay empty and can
-/// move to a pool that has too much to do.
+/// A few tasks in a large pool share a worker, so that the other workers stay empty and can
+/// move to an overloaded pool.
 #[test]
 fn tasks_are_packed() {
     let mut pool = Pool::new(6);
@@ -30,10 +29,10 @@
     assert_eq!(workers_of(&starts).len(), 1);
 }
 
-/// More work than room: no worker is given more than it has, starts on their way
-/// included.
+/// With more work than room, no worker is given more than it has room for, including
+/// starts that are proposed but not yet applied.
 #[test]
-fn no_worker_is_given_more_than_it_has() {
+fn no_worker_is_given_more_than_its_room() {
     let mut pool = Pool::new(3);
     pool.accept(1, job(vec![step(100)]));
     let starts = pool.pass();
@@ -42,7 +41,7 @@
 }
 
 #[test]
-fn memory_binds_as_processors_do() {
+fn memory_limits_placement_like_processors() {
     let mut pool = Pool::new(2);
     let mut heavy = step(10);
     heavy.demand.memory_mb = 30_000;
@@ -50,8 +49,8 @@
     assert_eq!(pool.pass().len(), 4);
 }
 
-/// Demand of several times the room: the job with the least work left goes first, and
-/// a large one that came before does not hold up all behind it.
+/// When demand is several times the room, the job with the least work left goes first, and
+/// a large job that arrived earlier does not block those behind it.
 #[test]
 fn small_jobs_pass_a_large_one_under_load() {
     let mut pool = Pool::new(1);
@@ -64,7 +63,7 @@
     assert!(starts.iter().all(|s| s.task.job != JobId::from(1)));
 }
 
-/// A job that can't be on time any more waits for those that can.
+/// A job that cannot be on time any more goes after those that can.
 #[test]
 fn jobs_that_can_be_on_time_go_before_late_ones() {
     let q = queue("quick", "east");
@@ -96,7 +95,7 @@
     assert!(a.cmp(&b).is_lt());
 }
 
-/// A lost worker should cost a lasting step one task, not all.
+/// The tasks of a lasting step are spread, so that the loss of a worker costs it only one.
 #[test]
 fn lasting_tasks_of_a_step_are_spread() {
     let mut pool = Pool::new(6);
@@ -106,20 +105,21 @@
     assert_eq!(workers_of(&pool.pass()).len(), 5);
 }
 
-/// Best-effort tasks slow those that serve users on their worker.
+/// Best-effort tasks would slow down the tasks on their worker that serve users.
 #[test]
 fn serving_and_best_effort_tasks_are_kept_apart() {
     let mut pool = Pool::new(8);
     let mut serving = lasting(4);
     serving.steps[0].tail_target_ms = Some(100);
-    let mut filling = lasting(4);
-    filling.steps[0].best_effort = true;
+    let mut best_effort = lasting(4);
+    best_effort.steps[0].best_effort = true;
     pool.accept(1, serving);
-    pool.accept(2, filling);
+    pool.accept(2, best_effort);
     let starts = pool.pass();
     let of = |id: u64| {
-        let mine = starts.iter().filter(move |s| s.task.job == JobId::from(id));
-        mine.map(|s| s.worker.clone())
+        let of_job = starts.iter().filter(move |s| s.task.job == JobId::from(id));
+        of_job
+            .map(|s| s.worker.clone())
             .collect::<std::collections::BTreeSet<_>>()
     };
     assert_eq!((of(1).len(), of(2).len()), (4, 4));
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn labels_racks_and_limits_are_kept() {
+fn labels_racks_and_limits_are_respected() {
     let mut pool = Pool::new(6);
     pool.accept(
         1,
@@ -166,8 +166,8 @@
     );
 }
 
-/// A part of a gang would wait in vain for the rest: it starts whole or not at all,
-/// and all members carry one number.
+/// A part of a gang would wait in vain for the rest, so a gang starts whole or not at all,
+/// and all its tasks have the same attempt number.
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
     let mut pool = Pool::new(1);
@@ -195,8 +195,8 @@
     );
 }
 
-/// A queue whose placements an advisor must allow: nothing starts before it has
-/// answered, and then only on workers that it allows.
+/// In a queue whose placements an advisor must allow, nothing starts before the advisor has
+/// answered.
 #[test]
 fn an_advisor_is_asked_first() {
     let mut pool = Pool::new(3);
@@ -239,7 +239,7 @@
     assert_ne!(second.worker, worker);
 }
 
-/// A worker that drains, or was not heard lately, gets nothing.
+/// Workers that are leaving or were not heard lately get no tasks.
 #[test]
 fn workers_that_leave_or_are_silent_get_nothing() {
     let mut pool = Pool::new(2);
@@ -284,8 +284,8 @@
     assert_eq!(again, pool.state);
 }
 
-/// A gang is slower on several racks, and no rack is large enough for it: its caller waits for
-/// ever beside a pool that could hold it.
+/// A gang prefers a single rack, because it is slower on several. If no rack is large enough
+/// for it, waiting for one would last for ever although the pool has room.
 #[test]
 fn a_gang_that_no_rack_can_hold_starts_on_several() {
     let mut pool = Pool::new(6);
@@ -298,8 +298,8 @@
     assert_eq!(pool.pass().len(), 40);
 }
 
-/// A rack is large enough for a gang but for the lasting tasks that it holds: waiting for it
-/// would last as long as they do.
+/// The rack would be large enough for the gang without the lasting tasks on it. Waiting for
+/// their room would take as long as they last.
 #[test]
 fn a_gang_does_not_wait_for_room_that_lasting_tasks_hold() {
     let mut pool = Pool::new(4);
@@ -325,10 +325,11 @@
     assert_eq!(pool.pass().len(), 30);
 }
 
-/// The rack with the most room has no worker with the label that a gang needs, and another
-/// rack has: its caller waits for as long as the first is the freest.
+/// The rack with the most room has no worker with the label that a gang needs, but another
+/// rack has. If racks were chosen by room alone, the gang would wait for as long as the
+/// first rack is the freest.
 #[test]
-fn a_gang_goes_to_the_rack_whose_workers_suit_it() {
+fn a_gang_goes_to_a_rack_whose_workers_have_its_label() {
     let mut pool = Pool::new(6);
     for port in [2, 3] {
         let mut report = pool
@@ -341,12 +342,12 @@
         report.capacity.cpu_milli = 8_000;
         apply(&mut pool.state, Change::Report(Arc::new(report)));
     }
-    let picky = Step {
+    let labelled = Step {
         gang: true,
         rack_local: true,
         label: Some("b".into()),
         ..step(10)
     };
-    pool.accept(1, job(vec![picky]));
+    pool.accept(1, job(vec![labelled]));
     assert_eq!(pool.pass().len(), 10);
 }
--- a/tests/control/sizes.rs
+++ b/tests/control/sizes.rs
@@ -1,33 +1,33 @@
-//! Shares of a pool's room for small and for large jobs.
+//! Fair shares of a pool's room for small and for large jobs.
 
 use rosemarygauge::control::{SizeShares, Sizes};
 use rosemarygauge::jobs::JobId;
 
-/// As by default.
+/// The policy's default.
 const LARGE_PART: f64 = 0.6;
 
-/// The order in which two rows are served, each in its own order.
-fn merged<T>(
+/// Returns the order in which small and large items are served by their shares.
+fn serving_order<T>(
     mut shares: SizeShares,
     small: Vec<T>,
     large: Vec<T>,
     cores: impl Fn(&T) -> f64,
 ) -> Vec<T> {
     let weights = shares.weights(LARGE_PART);
-    let mut rows = [small, large].map(std::collections::VecDeque::from);
-    let mut merged = Vec::new();
-    while rows.iter().any(|row| !row.is_empty()) {
+    let mut queues = [small, large].map(std::collections::VecDeque::from);
+    let mut order = Vec::new();
+    while queues.iter().any(|queue| !queue.is_empty()) {
         let next = shares.next_group(weights);
-        let group = if rows[next].is_empty() {
+        let group = if queues[next].is_empty() {
             1 - next
         } else {
             next
         };
-        let first = rows[group].pop_front().unwrap();
+        let first = queues[group].pop_front().unwrap();
         shares.add_running(group == 1, cores(&first));
-        merged.push(first);
+        order.push(first);
     }
-    merged
+    order
 }
 
 #[test]
@@ -47,11 +47,11 @@
     assert!(!large(&sizes, 29) && large(&sizes, 28));
 }
 
-/// A pool has room for a third of what is asked for. With the least work first the
-/// callers of large jobs wait until the turn is over, all of them; with shares about
-/// half as many of the large jobs are served as of the small ones.
+/// The pool has room for a third of the demand. With the least work first, no large job
+/// would run until the peak is over. With shares, the fraction of large jobs that are
+/// served is about half of that of the small ones.
 #[test]
-fn large_jobs_are_served_half_as_often_and_not_never() {
+fn large_jobs_are_served_half_as_often_as_small_ones() {
     let mut shares = SizeShares::default();
     let small = vec![2.0; 60];
     let large = vec![12.0; 10];
@@ -61,11 +61,11 @@
     large
         .iter()
         .for_each(|cores| shares.add_waiting(true, *cores));
-    let merged = merged(shares, small, large, |cores| *cores);
-    assert_eq!(merged.len(), 70);
+    let order = serving_order(shares, small, large, |cores| *cores);
+    assert_eq!(order.len(), 70);
     let mut room = 80.0;
     let mut served = [0.0, 0.0];
-    for cores in merged {
+    for cores in order {
         if cores <= room {
             room -= cores;
             served[usize::from(cores > 2.0)] += 1.0;
@@ -76,15 +76,15 @@
     assert!(parts[0] > parts[1], "{parts:?}");
 }
 
-/// What runs already counts: a group that has its share waits for the other.
+/// Cores in use count towards a group's share.
 #[test]
-fn a_group_that_has_its_share_lets_the_other_go_first() {
+fn a_group_that_uses_its_share_goes_second() {
     let mut shares = SizeShares::default();
     shares.add_running(true, 24.0);
     shares.add_waiting(false, 4.0);
     shares.add_waiting(true, 12.0);
     assert_eq!(
-        merged(shares, vec!["small"], vec!["large"], |_| 4.0),
+        serving_order(shares, vec!["small"], vec!["large"], |_| 4.0),
         ["small", "large"]
     );
     let mut shares = SizeShares::default();
@@ -92,7 +92,7 @@
     shares.add_waiting(false, 4.0);
     shares.add_waiting(true, 12.0);
     assert_eq!(
-        merged(shares, vec!["small"], vec!["large"], |_| 4.0),
+        serving_order(shares, vec!["small"], vec!["large"], |_| 4.0),
         ["large", "small"]
     );
 }
--- a/tests/control/specs.rs
+++ b/tests/control/specs.rs
@@ -1,4 +1,5 @@
-//! Jobs: what is wrong with one, its chains, names, and how gangs and copies end.
+//! Job specifications: validation, dependency chains, task ids, and the ends of gangs and
+//! copies.
 
 use std::sync::Arc;
 
@@ -31,22 +32,22 @@
 }
 
 #[test]
-fn names_are_written_and_read() {
+fn task_ids_round_trip_as_text() {
     let name = "5c0e7a21d94b36f8.0.1.17";
     let id: TaskId = name.parse().unwrap();
     assert_eq!(id.to_string(), name);
-    for wrong in [
+    for invalid in [
         "5c0e7a21d94b36f8",
         "5C0E7A21D94B36F8.0.1.1",
         "x.0.0.0",
         "5c0e7a21d94b36f8.0.1.1.1",
     ] {
-        assert!(wrong.parse::<TaskId>().is_err(), "{wrong}");
+        assert!(invalid.parse::<TaskId>().is_err(), "{invalid}");
     }
 }
 
 #[test]
-fn wrong_jobs_are_told_what_is_wrong() {
+fn invalid_specs_are_rejected_with_their_fault() {
     let later = Step {
         after: vec![1],
         ..step(1)
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn the_longest_chain_counts() {
+fn the_longest_dependency_chain_counts() {
     let after = |on: Vec<u16>| Step {
         after: on,
         ..step(1)
@@ -85,7 +86,7 @@
     assert_eq!(spec.chains_ms(&[100, 900, 50, 7]), [157, 957, 57, 7]);
 }
 
-/// One end of a gang stands for all its members, which share a saved state.
+/// The end of one task of a gang ends all of them, and they share one checkpoint.
 #[test]
 fn a_gang_ends_together() {
     let spec = job(vec![Step {
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn occurrences_come_when_they_are_due_and_all_must_end() {
+fn a_job_completes_when_all_due_occurrences_have_ended() {
     let spec = JobSpec {
         recurrence: Some(Recurrence {
             times: 2,
@@ -153,8 +154,8 @@
     assert_eq!(job.state(), JobState::Completed);
 }
 
-/// An end that is listed again after it was taken, or of a run that was given up,
-/// changes nothing.
+/// An end that is listed again after it was recorded, or that belongs to a run which was
+/// given up, changes nothing.
 #[test]
 fn an_end_counts_once() {
     let mut job = accepted(job(vec![step(1)]));
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn lasting_tasks_fail_as_often_as_they_do() {
+fn failures_of_lasting_tasks_are_unlimited() {
     let spec = job(vec![Step {
         lasting: true,
         ..step(1)
--- a/tests/control/throttle.rs
+++ b/tests/control/throttle.rs
@@ -1,9 +1,9 @@
-//! The speed of best-effort tasks beside tasks that serve users.
+//! Throttling of best-effort tasks on workers with tasks that serve users.
 
 use rosemarygauge::control::Throttle;
 
-/// A tail over its target stops the best-effort tasks at once; they get their speed
-/// back in steps only while there is room, and do not swing.
+/// A tail latency above its target stops the best-effort tasks at once. They regain speed in
+/// steps and only well below the target, so that their share does not oscillate.
 #[test]
 fn the_share_falls_at_once_and_rises_slowly() {
     let mut throttle = Throttle::new(0);
@@ -23,20 +23,20 @@
     assert_eq!(throttle.percent(), 10);
 }
 
-/// A tail that follows the share settles: within 20 s the share stays within one
-/// step of where it is bearable.
+/// When the tail latency depends on the share, the share settles within 20 s and then varies
+/// by one step at most.
 #[test]
-fn it_settles_where_the_tail_is_bearable() {
+fn the_share_settles_where_the_tail_meets_its_target() {
     let mut throttle = Throttle::new(0);
-    let mut late = Vec::new();
-    for look in 0..80 {
-        let now_ms = look * 250;
+    let mut settled = Vec::new();
+    for observation in 0..80 {
+        let now_ms = observation * 250;
         let tail = 0.4 + f64::from(throttle.percent()) / 100.0;
         throttle.observe(now_ms, tail);
         if now_ms > 15_000 {
-            late.push(throttle.percent());
+            settled.push(throttle.percent());
         }
     }
-    let (least, most) = (late.iter().min().unwrap(), late.iter().max().unwrap());
-    assert!(most - least <= 10 && *most >= 20, "{late:?}");
+    let (least, most) = (settled.iter().min().unwrap(), settled.iter().max().unwrap());
+    assert!(most - least <= 10 && *most >= 20, "{settled:?}");
 }
--- a/tests/control/worker.rs
+++ b/tests/control/worker.rs
@@ -1,5 +1,5 @@
-//! A fake worker: leases by its own clock, fencing, and ends that stay listed until
-//! they are acknowledged.
+//! A fake worker with leases by its own clock, fencing tokens, and ends that stay listed
+//! until they are acknowledged.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,9 +7,9 @@
 use rosemarygauge::control::{Ended, OrderKind, OrderOutcome, Phase, Rejection, Report, Running};
 use rosemarygauge::jobs::{Ending, Room, TaskId};
 
-/// Ends that it lists at once; the others follow once these are acknowledged.
+/// Maximum number of ends in a listing; further ends follow once these are acknowledged.
 const ENDS_LISTED_MAX: usize = 500;
-/// How long a stop takes.
+/// Time that stopping a run takes.
 const STOP_MS: u64 = 100;
 
 #[derive(Clone)]
@@ -35,23 +35,23 @@
     pub next_end: u64,
     pub highest: BTreeMap<TaskId, u32>,
     pub acknowledged: u64,
-    /// How long tasks take here; lasting ones go on.
+    /// Run time of tasks on this worker, except lasting ones, which do not end.
     pub run_ms: u64,
-    /// How late its answers come at most.
+    /// Maximum delay of its answers.
     pub answer_late_ms: u64,
     pub fails_all: bool,
     pub stalls: bool,
-    /// Its clock runs at this part of true time, in thousandths.
+    /// Rate of its clock relative to true time, in thousandths.
     pub clock_rate: u64,
     pub clock_base_ms: u64,
     pub born_ms: u64,
     pub lasting_jobs: std::collections::BTreeSet<rosemarygauge::jobs::JobId>,
-    /// How often its lease ran out.
+    /// Number of times its lease has expired.
     lapses: u64,
     lapsed: bool,
-    /// Ends as done that are not acknowledged: their number, when, and the lapses by then.
+    /// Unacknowledged completions by the number of the end: task, time, and `lapses` then.
     done: BTreeMap<u64, (TaskId, u64, u64)>,
-    /// Ends as done, and when, that were acknowledged under the same lease.
+    /// Completions, with their time, that were acknowledged before the lease expired.
     pub noted: Vec<(TaskId, u64)>,
 }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Lets time pass: ends runs and lets the lease run out.
+    /// Advances the time: ends runs that are due, and all runs once the lease has expired.
     pub fn tick(&mut self, now_ms: u64) {
         let lapsed = self.clock_ms(now_ms) >= self.lease_end_ms;
         self.lapses += u64::from(lapsed && !self.lapsed);
