--- a/src/control/decision.rs
+++ b/src/control/decision.rs
@@ -25,7 +25,7 @@
     MachineMoved,
     /// A machine's upkeep was ordered.
     #[display("machine-upkeep")]
-    Upkeep,
+    UpkeepOrdered,
     /// This instance became the leader.
     #[display("lead-began")]
     LeadBegan,
@@ -43,5 +43,5 @@
     OrderNotSent,
     /// A follower was excluded from carrying orders.
     #[display("carrier-out")]
-    CarrierOut,
+    CarrierExcluded,
 }
--- a/src/control/node/carrying.rs
+++ b/src/control/node/carrying.rs
@@ -25,7 +25,7 @@
 
     fn take_losses(&mut self, now_ms: u64, losses: Losses) {
         for _ in 0..losses.excluded {
-            self.out.push(Effect::Count(Decision::CarrierOut));
+            self.out.push(Effect::Count(Decision::CarrierExcluded));
         }
         for id in losses.orders {
             self.out.push(Effect::Count(Decision::OrderNotCarried));
--- a/src/control/node/keeping.rs
+++ b/src/control/node/keeping.rs
@@ -197,7 +197,7 @@
         lead.machine_orders
             .insert(order.id, (order.clone(), worker));
         let decision = match order.kind {
-            MachineOrderKind::Upkeep { .. } => Decision::Upkeep,
+            MachineOrderKind::Upkeep { .. } => Decision::UpkeepOrdered,
             MachineOrderKind::Move { .. } => Decision::MachineMoved,
         };
         self.out.push(Effect::Count(decision));
--- a/src/control/node/orders.rs
+++ b/src/control/node/orders.rs
@@ -240,7 +240,7 @@
         if let Some(clock_ms) = clock_ms
             && let Some(link) = lead.fleet.link_mut(sent.worker())
         {
-            link.heard(now_ms, clock_ms);
+            link.record_clock(now_ms, clock_ms);
         }
         match sent {
             Sent::Start(start) => self.start_ordered(now_ms, &start, &outcome),
@@ -276,7 +276,7 @@
                     task = %start.task, attempt = start.attempt, worker = %start.worker,
                     "task: a start did not leave"
                 );
-                link.cool(now_ms, CROWDED_REST_MS);
+                link.start_cooldown(now_ms, CROWDED_REST_MS);
                 self.not_started(start);
             }
             // An earlier sending of the same start may still arrive.
@@ -307,8 +307,8 @@
                     want_stop(now_ms, Some(view));
                 } else {
                     match reason {
-                        Rejection::Room => link.cool(now_ms, ROOM_REST_MS),
-                        Rejection::Unhealthy => link.cool(now_ms, UNHEALTHY_REST_MS),
+                        Rejection::Room => link.start_cooldown(now_ms, ROOM_REST_MS),
+                        Rejection::Unhealthy => link.start_cooldown(now_ms, UNHEALTHY_REST_MS),
                         _ => {}
                     }
                     if *reason == Rejection::Ticket {
--- a/src/control/node/renewals.rs
+++ b/src/control/node/renewals.rs
@@ -207,7 +207,7 @@
             }
         }
         if still > 0 {
-            link.cool(now_ms, STILL_REST_MS);
+            link.start_cooldown(now_ms, STILL_REST_MS);
         }
     }
 
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -102,9 +102,9 @@
             policy: world.policy,
             sizes: &self.sizes,
         };
-        let looked = self.backlog.refresh(now_unix_ms, &world);
-        self.looked += looked.len() as u64;
-        looked
+        let visited = self.backlog.refresh(now_unix_ms, &world);
+        self.looked += visited.len() as u64;
+        visited
     }
 
     /// Runs a scheduling pass and returns the starts to order: about `starts_max` at most,
@@ -122,9 +122,9 @@
         let mut found = self.candidates(now_ms, world, &backlog);
         let mut pools: Vec<PoolPass> = backlog
             .pools()
-            .filter_map(|(pool, backlog)| {
+            .filter_map(|(pool, pool_backlog)| {
                 let candidates = found.remove(pool)?;
-                Some(PoolPass::new(pool, backlog, candidates, world.policy))
+                Some(PoolPass::new(pool, pool_backlog, candidates, world.policy))
             })
             .collect();
         let starts = self.place_round_robin(now_ms, world, &mut pools, starts_max);
@@ -159,8 +159,8 @@
         let mut index = self.rotation;
         while pools.iter().any(PoolPass::is_active) {
             index = index.wrapping_add(1);
-            let pass_index = index % pools.len();
-            let pass = &mut pools[pass_index];
+            let pool = index % pools.len();
+            let pass = &mut pools[pool];
             if !pass.is_active() {
                 continue;
             }
@@ -346,8 +346,8 @@
         for index in waiting.iter().take(starts_left) {
             self.looked += 1;
             let task = pending.task(*index);
-            let own = pending.occurrence.task(task.step, *index);
-            let avoid = own.and_then(|t| t.failed_on.as_ref());
+            let state = pending.occurrence.task(task.step, *index);
+            let avoid = state.and_then(|t| t.failed_on.as_ref());
             let free = pool.iter_mut().filter(|c| may_take(c));
             let costs = free.map(|c| (c.cost(step, avoid, rack.as_deref(), policy), c));
             let best = costs.min_by(|(a, _), (b, _)| a.total_cmp(b));
@@ -356,7 +356,7 @@
             };
             best.reserve(step);
             best.step_runs += 1;
-            let attempt = own.map_or(0, |t| t.attempt) + 1;
+            let attempt = state.map_or(0, |t| t.attempt) + 1;
             starts.push(Placement {
                 task,
                 attempt: if step.gang { gang_attempt } else { attempt },
--- a/src/control/worker_link.rs
+++ b/src/control/worker_link.rs
@@ -33,7 +33,7 @@
     last_renewal_unsent: bool,
     /// End of the cooldown after refused orders or many failures; until then the worker
     /// gets no work.
-    cooling_until_ms: u64,
+    cooldown_until_ms: u64,
     /// Recent failures of distinct runs, decaying with time.
     failures: f64,
     failures_at_ms: u64,
@@ -180,7 +180,7 @@
             renew_ms: now_ms,
             unanswered_renewals: 0,
             last_renewal_unsent: false,
-            cooling_until_ms: 0,
+            cooldown_until_ms: 0,
             failures: 0.0,
             failures_at_ms: now_ms,
             runs: Runs::default(),
@@ -189,7 +189,7 @@
 
     /// Returns whether the worker may get work now.
     pub fn takes_work(&self, now_ms: u64) -> bool {
-        self.confirmed && self.is_heard(now_ms) && now_ms >= self.cooling_until_ms
+        self.confirmed && self.is_heard(now_ms) && now_ms >= self.cooldown_until_ms
     }
 
     /// Returns whether the worker has answered lately.
@@ -259,7 +259,7 @@
     /// waits until the recorded clock has passed that end, which the worker's own clock has
     /// done before. An order that arrives late carries the lease end of the time of its
     /// sending, so a delay extends nothing.
-    pub fn heard(&mut self, now_ms: u64, clock_ms: u64) {
+    pub fn record_clock(&mut self, now_ms: u64, clock_ms: u64) {
         if self.clock.is_none() {
             // Every lease that an earlier leader granted ends by then.
             self.lease_end_ms = clock_ms + self.lease_ms + INHERITED_LEASE_MARGIN_MS;
@@ -299,7 +299,7 @@
         if self.renewal_sent_ms == Some(sent_ms) {
             self.renewal_sent_ms = None;
         }
-        self.heard(now_ms, clock_ms);
+        self.record_clock(now_ms, clock_ms);
         self.unanswered_renewals = 0;
         self.last_renewal_unsent = false;
         self.confirmed = true;
@@ -347,8 +347,8 @@
     }
 
     /// Starts or extends the worker's cooldown, in which it gets no work.
-    pub fn cool(&mut self, now_ms: u64, for_ms: u64) {
-        self.cooling_until_ms = self.cooling_until_ms.max(now_ms + for_ms);
+    pub fn start_cooldown(&mut self, now_ms: u64, for_ms: u64) {
+        self.cooldown_until_ms = self.cooldown_until_ms.max(now_ms + for_ms);
     }
 
     /// Records that a run failed on the worker.
@@ -360,7 +360,7 @@
         self.decay_failures(now_ms);
         self.failures += 1.0;
         if policy.failures_max > 0.0 && self.failures >= policy.failures_max {
-            self.cool(now_ms, policy.failures_rest_ms);
+            self.start_cooldown(now_ms, policy.failures_rest_ms);
         }
     }
 
--- a/tests/control/leases.rs
+++ b/tests/control/leases.rs
@@ -61,8 +61,8 @@
 #[test]
 fn answers_that_overtake_each_other_do_not_set_the_clock_back() {
     let mut link = WorkerLink::new(0, LEASE_MS);
-    link.heard(1_000, 500);
-    link.heard(1_010, 400);
+    link.record_clock(1_000, 500);
+    link.record_clock(1_010, 400);
     assert_eq!(link.grant(1_010), Some(510 + LEASE_MS));
 }
 
