--- a/src/control/history.rs
+++ b/src/control/history.rs
@@ -40,7 +40,7 @@
 
     /// Records how long a task of a step took, from its placement to its end.
     pub fn record_end(&mut self, job: &Job, step: usize, took_ms: u64) {
-        self.estimates.ended(job, step, took_ms);
+        self.estimates.record_run(job, step, took_ms);
     }
 
     /// Returns the run-time estimates, corrected by past runs.
--- a/src/control/node/orders.rs
+++ b/src/control/node/orders.rs
@@ -121,7 +121,7 @@
             timeout_ms,
             kind,
         };
-        let own = lead.carriers.give(order);
+        let own = lead.carriers.assign(order);
         self.out.extend(own.map(Effect::Order));
         lead.orders.insert(id, sent);
         true
@@ -142,14 +142,14 @@
         if !placed {
             return;
         }
-        lead.fleet.meet(now_ms, &start.worker);
+        lead.fleet.add_link(now_ms, &start.worker);
         if let Some(link) = lead.fleet.link_mut(&start.worker) {
             let load = lead.scheduler.load_of(&self.state, start.task);
             let mut view = RunView::new(RunPhase::Starting { unanswered: 0 }, load);
             if let Some(job) = job {
                 let step = usize::from(start.task.step);
                 let takes_ms = self.state.history().estimates().run_times_ms(job);
-                view.expect(
+                view.set_expected(
                     &job.spec.steps[step],
                     self.clock.unix_ms(now_ms),
                     takes_ms[step],
@@ -240,7 +240,7 @@
         if let Some(clock_ms) = clock_ms
             && let Some(link) = lead.fleet.link_mut(sent.worker())
         {
-            link.heard(now_ms, clock_ms);
+            link.record_clock(now_ms, clock_ms);
         }
         match sent {
             Sent::Start(start) => self.start_ordered(now_ms, &start, &outcome),
@@ -276,7 +276,7 @@
                     task = %start.task, attempt = start.attempt, worker = %start.worker,
                     "task: a start did not leave"
                 );
-                link.cool(now_ms, CROWDED_REST_MS);
+                link.start_cooldown(now_ms, CROWDED_REST_MS);
                 self.not_started(start);
             }
             // An earlier sending of the same start may still arrive.
@@ -307,8 +307,8 @@
                     want_stop(now_ms, Some(view));
                 } else {
                     match reason {
-                        Rejection::Room => link.cool(now_ms, ROOM_REST_MS),
-                        Rejection::Unhealthy => link.cool(now_ms, UNHEALTHY_REST_MS),
+                        Rejection::Room => link.start_cooldown(now_ms, ROOM_REST_MS),
+                        Rejection::Unhealthy => link.start_cooldown(now_ms, UNHEALTHY_REST_MS),
                         _ => {}
                     }
                     if *reason == Rejection::Ticket {
@@ -394,7 +394,7 @@
         let Some(lead) = &mut self.lead else {
             return;
         };
-        for (step, mut workers) in lead.scheduler.take_unadvised() {
+        for (step, mut workers) in lead.scheduler.take_missing_advice() {
             let asked = lead.questions.values().any(|(s, ..)| *s == step);
             if asked || lead.questions.len() >= QUESTIONS_MAX {
                 continue;
--- a/src/control/node/pass.rs
+++ b/src/control/node/pass.rs
@@ -42,7 +42,7 @@
                 .closed_workers()
                 .chain(lead.capacity.closed_workers());
             lead.scheduler.closed = closed.cloned().collect();
-            lead.scheduler.due = Upkeep::due_workers(&self.state);
+            lead.scheduler.upkeep_due = Upkeep::due_workers(&self.state);
             starts = lead.scheduler.pass(now_ms, &world, starts_max);
         }
         self.looked += std::mem::take(&mut lead.scheduler.looked);
--- a/tests/control/pool.rs
+++ b/tests/control/pool.rs
@@ -1,4 +1,4 @@
-//! One pool of workers and what waits for it, without instances.
+//! A pool of workers and its backlog, without control instances.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 pub const NOW_MS: u64 = 50_000;
 pub const UNIX_MS: u64 = 1_700_000_000_000;
 
-/// A state with a pool of workers, and a scheduler that follows it.
+/// A replicated state with a pool of workers, and a scheduler that follows it.
 pub struct Pool {
     pub state: State,
     pub fleet: Fleet,
@@ -22,7 +22,7 @@
 }
 
 impl Pool {
-    /// So many workers of 16 cores in the pool `east`, all heard just now.
+    /// Creates the pool `east` with workers of 16 cores, all of which were heard just now.
     pub fn new(workers: u16) -> Self {
         let mut state = State::default();
         apply(&mut state, Change::Configure(Arc::new(configuration(1))));
@@ -32,8 +32,8 @@
             let mut report = worker.report();
             report.rack = Some(format!("r{}", port / 2).as_str().into());
             apply(&mut state, Change::Report(Arc::new(report.clone())));
-            fleet.meet(NOW_MS, &report.worker);
-            hear(&mut fleet, &format!("i-{port}"));
+            fleet.add_link(NOW_MS, &report.worker);
+            mark_heard(&mut fleet, &format!("i-{port}"));
         }
         Self {
             state,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Carries out a change, and tells the scheduler as a leader does.
+    /// Applies a change and marks its job as changed in the scheduler, as a leader does.
     pub fn change(&mut self, change: Change) {
         if let Some(job) = change.job() {
             self.scheduler.touch(job);
@@ -50,11 +50,12 @@
         apply(&mut self.state, change);
     }
 
-    /// Begins to lead anew: what is placed runs on its workers, which are all heard just now.
-    pub fn follow(&mut self) {
+    /// Starts as a new leader: placed tasks count as running, and all workers were heard just
+    /// now.
+    pub fn restart_leader(&mut self) {
         self.fleet = Fleet::new(NOW_MS, 5_000, &self.state, &Sizes::default());
         for name in self.state.workers().keys() {
-            hear(&mut self.fleet, name.as_str());
+            mark_heard(&mut self.fleet, name.as_str());
         }
         self.scheduler = Scheduler::default();
         for job in self.state.active() {
@@ -69,7 +70,7 @@
             spec: Arc::new(spec),
         });
         if let Some(job) = self.state.job(JobId::from(id)) {
-            self.scheduler.arrived(job, &Estimates::default());
+            self.scheduler.record_arrival(job, &Estimates::default());
         }
     }
 
@@ -95,7 +96,7 @@
     }
 }
 
-fn hear(fleet: &mut Fleet, name: &str) {
+fn mark_heard(fleet: &mut Fleet, name: &str) {
     let link: &mut WorkerLink = fleet.link_mut(&name.into()).unwrap();
     link.listed(NOW_MS, NOW_MS, 77, &[], &[]);
 }
