--- a/src/control/answer.rs
+++ b/src/control/answer.rs
@@ -8,39 +8,40 @@
 /// The answer to a [`super::Call`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// It is done and durable.
+    /// The call is done and its effect is durable.
     Done,
-    /// How far a job is.
+    /// The state of a job.
     Job(JobState),
-    /// How many accepted jobs wait.
+    /// The number of accepted jobs that have not started.
     Pending(usize),
-    /// The newest configuration, as it was sent.
+    /// The newest configuration, as the operator sent it.
     Configuration(Arc<Vec<u8>>),
-    /// Whether a wave is completed.
+    /// The progress of a wave.
     Wave {
         /// Whether all its machines have begun their upkeep.
         completed: bool,
     },
-    /// It has no effect and never will.
+    /// The call has no effect and never will have one.
     Refused(Refusal),
-    /// This instance does not lead; nothing was done.
+    /// This instance does not lead. The call was not processed.
     NotLeader {
-        /// Who does, if known.
+        /// The leader, if it is known.
         leader: Option<EntryName>,
     },
-    /// The leader that took it does not lead any more; it may be done all the same.
+    /// The leader that accepted the call lost its leadership. The call may still take
+    /// effect.
     LeadLost,
-    /// What became of it is not known here.
+    /// It is not known whether the call takes effect.
     Unknown,
 }
 
 /// Why a call has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 pub enum Refusal {
-    /// It is wrong in itself.
+    /// The call is invalid; the text says why.
     #[display("{_0}")]
     Wrong(String),
-    /// There is no such queue.
+    /// No queue matches the host and path.
     #[display("no queue is here")]
     NoQueue,
     /// There is no such job or wave.
@@ -49,10 +50,10 @@
     /// There is no configuration yet.
     #[display("no configuration is in force yet")]
     NoConfiguration,
-    /// There is too much to do; when to come back.
+    /// The system is overloaded.
     #[display("too much waits; come back in {retry_after_ms} ms")]
     Busy {
-        /// From now on.
+        /// Delay after which the call may be retried, in milliseconds.
         retry_after_ms: u64,
     },
 }
--- a/src/control/call.rs
+++ b/src/control/call.rs
@@ -6,56 +6,57 @@
 use crate::jobs::{JobId, JobSpec};
 use crate::model::InstanceName;
 
-/// A place in front of a queue, as a caller names it.
+/// The host and path of a caller's request, which select a queue and possibly a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
     /// The host.
     pub host: String,
-    /// The whole path.
+    /// The complete path.
     pub path: String,
 }
 
-/// What is asked of the leader. Every call may be sent again, to any instance.
+/// A request to the leader. Every call is idempotent and may be sent again, to any
+/// instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
-    /// A caller hands in a job.
+    /// A caller submits a job.
     Submit {
-        /// In front of which queue.
+        /// The queue and the job's id.
         place: Place,
-        /// The job; none if it cannot be read.
+        /// The job, or `None` if it could not be parsed.
         spec: Option<Arc<JobSpec>>,
     },
-    /// A caller asks how far a job is, or how many wait.
+    /// A caller asks for the state of a job, or for the number of waiting jobs.
     Look {
-        /// In front of which queue.
+        /// The queue, and the job's id if the state of one job is asked for.
         place: Place,
     },
-    /// A caller wants no more of a job.
+    /// A caller cancels a job.
     Cancel {
-        /// In front of which queue.
+        /// The queue and the job's id.
         place: Place,
     },
-    /// A worker says how it is.
+    /// A worker reports its state.
     Report(Arc<Report>),
-    /// A worker ends.
+    /// A worker shuts down.
     Leave {
-        /// Its incarnation.
+        /// The worker's incarnation.
         worker: InstanceName,
     },
-    /// An operator sets a configuration.
+    /// An operator replaces the configuration.
     Configure(Arc<Configuration>),
     /// An operator reads the newest configuration.
     ReadConfiguration,
-    /// An operator starts a wave.
+    /// An operator starts a maintenance wave.
     StartWave(Wave),
-    /// An operator asks how far a wave is.
+    /// An operator asks for the progress of a wave.
     LookAtWave {
         /// The wave's number.
         wave: u64,
     },
 }
 
-/// A job that a path names below a queue's prefix.
-pub(super) fn job_below(path: &str, prefix: &str) -> Option<JobId> {
+/// Parses the id of the job from the part of a path after its queue's prefix.
+pub(super) fn job_from_path(path: &str, prefix: &str) -> Option<JobId> {
     path.strip_prefix(prefix)?.parse().ok()
 }
--- a/src/control/connection_budget.rs
+++ b/src/control/connection_budget.rs
@@ -1,9 +1,10 @@
-//! How many connections an instance may have, within the files that it may open.
+//! Divides the file descriptors of an instance among its kinds of connections.
 //!
-//! Links, callers and calls to workers share one table of descriptors. With a bound for
-//! each that does not know of the others their sum is more than the table holds, and a
-//! crowd of callers leaves no descriptor for the links without which nobody leads. With a
-//! fixed share for each, one kind is refused while the places of another stand empty.
+//! Links, callers and calls to workers share one descriptor table. With independent limits,
+//! their sum may exceed the table, and a surge of callers would leave no descriptor for the
+//! links, without which no leader can be elected. With fixed shares only, one kind would be
+//! refused while the places of another are unused. So each kind has a reserved share and
+//! competes for a common rest.
 
 use std::sync::Arc;
 
@@ -12,84 +13,87 @@
 use crate::link::LinkLimits;
 use crate::places::Places;
 
-/// Descriptors for all else: listeners, the log and snapshots, the runtime, calls to the
-/// keeper and the advisor, and what the system sets aside.
+/// Descriptors that are reserved for everything else: listeners, the log and snapshots, the
+/// runtime, calls to the machine manager and the advisor, and what the system itself
+/// reserves.
 const RESERVED_FILES: usize = 320;
-/// One connection in so many is kept for a kind that needs few.
-const SMALL_SHARE: usize = 16;
-/// What a caller's connection takes at most: its head's buffer and its task.
-const CALLER_BYTES: usize = 24 * 1024;
+/// Kinds that need few connections get one share in this many.
+const SMALL_SHARE_DIVISOR: usize = 16;
+/// Memory that a caller's connection takes at most, for the buffer of its request head and
+/// its task.
+const MAX_CALLER_CONNECTION_BYTES: usize = 24 * 1024;
 
-/// What an instance is granted.
+/// The resource limits of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Files that it may have open at once.
+    /// Maximum number of open files.
     pub open_files: usize,
-    /// Memory, if it is bounded.
+    /// Memory limit in bytes, if there is one.
     pub memory_bytes: Option<usize>,
 }
 
-/// Connections at once, by what they are kept for.
+/// Maximum number of concurrent connections of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionBudget {
-    /// Incoming connections that have not proved whose they are.
+    /// Incoming connections that have not authenticated yet.
     pub unproved: usize,
-    /// Links opened from here.
+    /// Outgoing links.
     pub outgoing: usize,
     /// Incoming links.
     pub incoming: usize,
-    /// Connections of callers, or of workers and operators that call here.
+    /// Incoming connections of callers, workers and operators.
     pub callers: usize,
-    /// Connections to workers.
+    /// Outgoing connections to workers.
     pub workers: usize,
-    /// Incoming links, callers and connections to workers beyond what is kept for them.
+    /// Connections that incoming links, callers and workers may use in addition to their
+    /// reserved share.
     pub shared: usize,
 }
 
-/// The places that a budget gives.
+/// The connection limits and permits of a budget.
 #[derive(Clone, Debug)]
 pub struct BudgetedPlaces {
-    /// Bounds beside incoming links.
+    /// Limits of unauthenticated connections and outgoing links.
     pub limits: LinkLimits,
-    /// For incoming links.
+    /// Permits for incoming links.
     pub incoming: Places,
-    /// For callers.
+    /// Permits for callers.
     pub callers: Places,
-    /// For connections to workers.
+    /// Permits for connections to workers.
     pub workers: Places,
 }
 
 impl ConnectionBudget {
-    /// For a control instance: half is kept for calls to workers, of which one a worker is
-    /// held open all the time.
+    /// Returns the budget of a control instance. Half is reserved for calls to workers,
+    /// because one connection to each worker is open all the time.
     pub fn control(grant: Grant) -> Self {
         let files = grant.usable_files();
-        let part = files / SMALL_SHARE;
+        let small_share = files / SMALL_SHARE_DIVISOR;
         Self {
-            unproved: part,
-            outgoing: part,
-            incoming: part,
-            callers: grant.callers(part),
+            unproved: small_share,
+            outgoing: small_share,
+            incoming: small_share,
+            callers: grant.callers(small_share),
             workers: files / 2,
-            shared: files / 2 - 4 * part,
+            shared: files / 2 - 4 * small_share,
         }
     }
 
-    /// For an entry instance, which calls no workers.
+    /// Returns the budget of an entry instance, which does not call workers.
     pub fn entry(grant: Grant) -> Self {
         let files = grant.usable_files();
-        let part = files / SMALL_SHARE;
+        let small_share = files / SMALL_SHARE_DIVISOR;
         Self {
-            unproved: part,
-            outgoing: part,
-            incoming: part,
-            callers: grant.callers(files - 3 * part),
+            unproved: small_share,
+            outgoing: small_share,
+            incoming: small_share,
+            callers: grant.callers(files - 3 * small_share),
             workers: 0,
             shared: 0,
         }
     }
 
-    /// Its places.
+    /// Creates the permits of this budget.
     pub fn places(&self) -> BudgetedPlaces {
         let shared = Arc::new(Semaphore::new(self.shared));
         BudgetedPlaces {
@@ -107,13 +111,16 @@
 impl Grant {
     fn usable_files(self) -> usize {
         let files = self.open_files.saturating_sub(RESERVED_FILES);
-        // A process that may open fewer still gets some places of each kind.
-        files.clamp(2 * SMALL_SHARE, Semaphore::MAX_PERMITS)
+        // A process with a lower limit still gets some connections of each kind.
+        files.clamp(2 * SMALL_SHARE_DIVISOR, Semaphore::MAX_PERMITS)
     }
 
-    /// So many callers, or as many as fit into half of the memory.
+    /// Returns `wanted`, or the number of connections that fit into half of the memory if
+    /// that is less.
     fn callers(self, wanted: usize) -> usize {
-        let fit = self.memory_bytes.map(|bytes| bytes / 2 / CALLER_BYTES);
+        let fit = self
+            .memory_bytes
+            .map(|bytes| bytes / 2 / MAX_CALLER_CONNECTION_BYTES);
         fit.map_or(wanted, |fit| wanted.min(fit).max(1))
     }
 }
--- a/src/control/desk.rs
+++ b/src/control/desk.rs
@@ -7,50 +7,51 @@
 use super::{Answer, Call, Metrics};
 use crate::model::EntryName;
 
-/// Where an instance's listeners hand in calls and wait for their answers.
+/// Connects an instance's listeners with its event loop: listeners submit calls and await
+/// their answers.
 ///
-/// Calls and the loop that answers them run in one thread; the lock is never held
-/// across a wait.
+/// Listeners and the loop run in one thread; the lock is never held across an await.
 #[derive(Debug)]
 pub struct Desk {
     calls: mpsc::UnboundedSender<Incoming>,
-    open: Mutex<Open>,
+    open: Mutex<OpenCalls>,
     board: Mutex<Board>,
     metrics: Metrics,
 }
 
-/// A call on its way to the loop.
+/// A call that is queued for the event loop.
 #[derive(Debug)]
 pub struct Incoming {
-    /// Names it in the answer.
+    /// The id that the answer repeats.
     pub id: u64,
     /// The call.
     pub call: Call,
-    /// How long its caller waits.
+    /// How long its caller waits, in milliseconds.
     pub patience_ms: u64,
 }
 
-/// What the loop lets listeners know.
+/// Status that the event loop publishes to the listeners.
 #[derive(Clone, Debug, Default)]
 pub struct Board {
-    /// Where workers should report.
+    /// The control instances to which workers should send their reports.
     pub report_places: Vec<EntryName>,
-    /// Whether new callers are welcome.
+    /// Whether the instance is ready for new callers.
     pub ready: bool,
 }
 
 #[derive(Debug, Default)]
-struct Open {
+struct OpenCalls {
     next_id: u64,
     answers: HashMap<u64, oneshot::Sender<Answer>>,
 }
 
 impl Desk {
-    /// A desk and where its calls come out. `first_id` must differ from start to
-    /// start, so that an answer to an earlier start's call names no call of this.
+    /// Creates a desk and the receiver of its calls. `first_id` must differ from start to
+    /// start, so that a late answer to a call of an earlier start matches no call of this
+    /// one.
     pub fn new(first_id: u64) -> (Arc<Self>, mpsc::UnboundedReceiver<Incoming>) {
         let (tx, rx) = mpsc::unbounded_channel();
-        let open = Open {
+        let open = OpenCalls {
             next_id: first_id,
             answers: HashMap::new(),
         };
@@ -63,7 +64,7 @@
         (Arc::new(desk), rx)
     }
 
-    /// Hands in a call and waits for its answer.
+    /// Submits a call and waits for its answer.
     pub async fn call(&self, call: Call, patience_ms: u64) -> Answer {
         let began = Instant::now();
         let (tx, rx) = oneshot::channel();
@@ -82,59 +83,63 @@
         if self.calls.send(incoming).is_err() {
             return Answer::Unknown;
         }
-        // The loop ends without an answer only when the process does.
+        // The loop ends without an answer only when the process ends.
         let answer = rx.await.unwrap_or(Answer::Unknown);
         self.metrics
-            .answered(&answer, began.elapsed().as_secs_f64());
+            .record_answer(&answer, began.elapsed().as_secs_f64());
         answer
     }
 
-    /// Answers a call; nobody may wait for it any more.
+    /// Answers a call. Its caller may have left already.
     pub fn answer(&self, id: u64, answer: Answer) {
         if let Some(waiting) = lock(&self.open).answers.remove(&id)
             && waiting.send(answer).is_err()
         {
-            tracing::debug!(id, "desk: the caller left before its answer");
+            tracing::debug!(id, "calls: the caller left before its answer");
         }
     }
 
-    /// Answers all calls that wait: the instance stops and will not answer them.
+    /// Answers all open calls with [`Answer::Unknown`] because the instance stops.
     ///
-    /// Without this the connections of callers whom no leader answered in time break
-    /// off at the end of a planned stop, and they cannot tell it from a crash.
+    /// Otherwise the connections of callers without an answer would break at the end of a
+    /// planned stop, which callers cannot distinguish from a crash.
     pub fn give_up(&self) {
         let waiting = std::mem::take(&mut lock(&self.open).answers);
         if !waiting.is_empty() {
-            tracing::info!(calls = waiting.len(), "desk: calls are given up at a stop");
+            tracing::info!(
+                calls = waiting.len(),
+                "calls: open calls are given up at a planned stop"
+            );
         }
         for caller in waiting.into_values() {
-            // One that left needs no answer.
+            // A caller that left needs no answer.
             let _ = caller.send(Answer::Unknown);
         }
     }
 
-    /// How many calls wait.
+    /// Returns the number of open calls.
     pub fn waiting(&self) -> usize {
         lock(&self.open).answers.len()
     }
 
-    /// The instance's counters and latencies.
+    /// Returns the instance's counters and latencies.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// What the loop last let know.
+    /// Returns the status that the event loop last published.
     pub fn board(&self) -> Board {
         lock(&self.board).clone()
     }
 
-    /// Lets listeners know.
+    /// Publishes a status to the listeners.
     pub fn show(&self, board: Board) {
         *lock(&self.board) = board;
     }
 }
 
-/// A panic elsewhere leaves the maps whole: each change is one step.
+/// Locks a mutex, also after a panic: each change of the maps is a single operation, so a
+/// panic elsewhere leaves them consistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -1,4 +1,5 @@
-//! The loops that feed events to the decisions and carry out what they want.
+//! The event loops of control and entry instances: they feed events to the decision logic
+//! and carry out its effects.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -21,39 +22,39 @@
 use crate::model::{EntryName, InstanceName};
 use crate::storage::{self, StorageError};
 
-/// How often time is fed to a control instance: finer than a scheduler's pass would
-/// cost wake-ups, coarser would hold back orders.
-const CONTROL_TICK: Duration = Duration::from_millis(20);
-/// How often time is fed to an entry instance: it only resends and greets.
-const ENTRY_TICK: Duration = Duration::from_millis(50);
-/// How long events are taken in one go before sockets and timers are looked at: short
-/// beside the limits of calls and links, many times what a look costs.
-const GO: Duration = Duration::from_millis(5);
-/// How often time is fed to a control instance while outcomes wait for others to leave
-/// with them.
-const GATHER: Duration = Duration::from_millis(4);
-/// A gap between two looks at the clock that means that the process stood still:
-/// time has to pass for the decisions before anything that waited is handled.
-const GAP_MS: u64 = 200;
-/// How often the time of day is compared.
-const COMPARE_MS: u64 = 1_000;
-/// What is left of the grace of a planned stop when open calls are given up.
+/// Interval of the control instance's tick. A shorter one than the scheduling pass would
+/// cost wake-ups; a longer one would delay orders.
+const CONTROL_TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval of the entry instance's tick, which only resends calls and sends hellos.
+const ENTRY_TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum time for which events are handled before sockets and timers are polled. It is
+/// short compared with the timeouts of calls and links, and many times the cost of polling.
+const MAX_BATCH_DURATION: Duration = Duration::from_millis(5);
+/// Delay of the tick that sends outcomes, which are collected so that several share a
+/// message.
+const OUTCOME_FLUSH_DELAY: Duration = Duration::from_millis(4);
+/// A larger gap between two reads of the clock means that the process was paused. A tick is
+/// then handled before any queued event, so that the decision logic notices the time.
+const STALL_THRESHOLD_MS: u64 = 200;
+/// Interval at which the monotonic clock is compared with the wall clock.
+const CLOCK_CHECK_INTERVAL_MS: u64 = 1_000;
+/// Part of the grace period of a planned stop that is left when open calls are given up.
 const STOP_RESERVE_MS: u64 = 700;
 
-/// A future on the process's one thread.
+/// A boxed future that runs on the process's single thread.
 pub type Local<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// What lies outside of the system: workers, the keeper of machines, the advisor.
+/// Access to external systems: the workers, the machine manager and the advisor.
 pub trait Outside {
-    /// Carries out an order to a worker. It counts as given at once, not when the future
-    /// first runs: [`Self::abort_orders`] reaches it from here on.
+    /// Sends an order to a worker. The order counts as sent when this is called, not when
+    /// the future is first polled: from then on [`Self::abort_orders`] affects it.
     fn order(&self, order: Order) -> Local<OrderOutcome>;
-    /// Carries out an order to the keeper of the machines, given at once as well.
+    /// Sends an order to the machine manager. It also counts as sent when this is called.
     fn order_machine(&self, order: MachineOrder) -> Local<MachineOutcome>;
-    /// Throws away every order that has no answer, also what has left and is held up on
-    /// its way.
+    /// Aborts every order without an answer, including those that are delayed on the
+    /// network.
     fn abort_orders(&self);
-    /// Asks the keeper for the list of all machines.
+    /// Requests the list of all machines from the machine manager.
     fn list_machines(&self) -> Local<Option<Vec<Machine>>>;
     /// Asks the advisor which workers may run a step.
     fn advise(
@@ -64,36 +65,36 @@
     ) -> Local<Option<Vec<(InstanceName, String)>>>;
 }
 
-/// Sends messages to other instances.
+/// The sending side of the links to other instances.
 pub trait Links {
-    /// Queues a message; it may be lost.
+    /// Queues a message. Delivery is not guaranteed.
     fn send(&self, to: &EntryName, message: &PeerMessage);
 }
 
-/// What reaches a loop beside calls and time.
+/// An input of an event loop other than calls and ticks.
 #[derive(Debug)]
 pub enum Signal {
     /// A peer sent a message.
     Peer(EntryName, PeerMessage),
-    /// The disk synced a write.
+    /// The write with this token is synced to disk.
     Persisted(u64),
     /// The disk failed.
     DiskFailed(StorageError),
-    /// Other instances are known from the settings.
+    /// The settings name these instances.
     Found(Vec<EntryName>),
     /// A planned stop begins.
     Stop,
 }
 
-/// Where events of a control instance wait.
+/// The queues of a control instance's event loop.
 #[derive(Clone, Copy)]
-enum Queue {
+enum EventQueue {
     Outcomes,
     Signals,
     Calls,
 }
 
-impl Queue {
+impl EventQueue {
     const COUNT: usize = 3;
 
     fn next(self) -> Self {
@@ -105,17 +106,17 @@
     }
 }
 
-/// Runs an instance until its planned stop.
+/// Runs the event loop of an instance until its planned stop.
 pub struct Driver<L> {
     desk: Arc<Desk>,
     calls: UnboundedReceiver<Incoming>,
     signals: UnboundedReceiver<Signal>,
     links: L,
-    last_ms: u64,
+    last_batch_ms: u64,
 }
 
 impl<L: Links> Driver<L> {
-    /// A driver for these calls and signals.
+    /// Creates a driver that receives these calls and signals.
     pub fn new(
         desk: Arc<Desk>,
         calls: UnboundedReceiver<Incoming>,
@@ -127,14 +128,15 @@
             calls,
             signals,
             links,
-            last_ms: steady_ms(),
+            last_batch_ms: steady_ms(),
         }
     }
 
-    /// Runs a control instance.
+    /// Runs a control instance until its planned stop.
     ///
     /// # Errors
-    /// The data folder failed; what was not synced was not answered.
+    /// Returns the error if the data folder fails. Nothing that was not synced has been
+    /// acknowledged.
     pub async fn run_control(
         mut self,
         mut node: Node,
@@ -142,10 +144,10 @@
         outside: Rc<dyn Outside>,
         wall: WallClock,
     ) -> Result<(), StorageError> {
-        let (done, mut outcomes) = unbounded_channel();
-        let mut tick = interval(CONTROL_TICK);
+        let (completions, mut outcomes) = unbounded_channel();
+        let mut tick = interval(CONTROL_TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut compare_ms = 0;
+        let mut next_clock_check_ms = 0;
         let mut meter = LoopMeter::new(Instant::now());
         let runtime = tokio::runtime::Handle::current().metrics();
         loop {
@@ -154,76 +156,77 @@
                 Some(outcome) = outcomes.recv() => Some(outcome),
                 Some(call) = self.calls.recv() => Some(call_event(call)),
                 due = tick.tick() => {
-                    meter.late(due.elapsed());
+                    meter.record_lateness(due.elapsed());
                     Some(Event::Tick)
                 }
-                // Outcomes for the leader leave before the next tick.
-                () = sleep(GATHER), if node.gathers() => Some(Event::Tick),
+                // Send outcomes to the leader before the next regular tick.
+                () = sleep(OUTCOME_FLUSH_DELAY), if node.has_queued_outcomes() => Some(Event::Tick),
                 else => return Ok(()),
             };
-            meter.waiting(self.signals.len() + outcomes.len() + self.calls.len());
-            if steady_ms() > self.last_ms + GAP_MS {
+            meter.record_queue_length(self.signals.len() + outcomes.len() + self.calls.len());
+            if steady_ms() > self.last_batch_ms + STALL_THRESHOLD_MS {
                 let effects = node.handle(steady_ms(), Event::Tick);
-                self.carry_out(effects, &disk, &outside, &done);
+                self.carry_out(effects, &disk, &outside, &completions);
             }
-            let go_began = Instant::now();
-            let mut queue = Queue::Calls;
+            let batch_began = Instant::now();
+            let mut queue = EventQueue::Calls;
             while let Some(next) = event.take() {
                 let kind = EventKind::from(&next);
                 let began = Instant::now();
                 let effects = node.handle(steady_ms(), next);
                 let decided = Instant::now();
-                meter.handled(kind, decided - began);
-                if self.carry_out(effects, &disk, &outside, &done) {
+                meter.record_event(kind, decided - began);
+                if self.carry_out(effects, &disk, &outside, &completions) {
                     self.desk.give_up();
                     return Ok(());
                 }
                 let ended = Instant::now();
-                meter.handled(EventKind::Effects, ended - decided);
-                if ended - go_began < GO {
-                    event = self.waiting(&mut queue, &mut outcomes)?;
+                meter.record_event(EventKind::Effects, ended - decided);
+                if ended - batch_began < MAX_BATCH_DURATION {
+                    event = self.next_queued(&mut queue, &mut outcomes)?;
                 }
             }
             let now_ms = steady_ms();
-            self.last_ms = now_ms;
-            if now_ms >= compare_ms {
-                compare_ms = now_ms + COMPARE_MS;
+            self.last_batch_ms = now_ms;
+            if now_ms >= next_clock_check_ms {
+                next_clock_check_ms = now_ms + CLOCK_CHECK_INTERVAL_MS;
                 node.compare_clock(now_ms, wall.unix_ms());
             }
             let leads = node.leads(now_ms);
             let leaderless = Duration::from_millis(node.leaderless_ms(now_ms));
-            self.desk.metrics().leaderless(leaderless.as_secs_f64());
+            self.desk.metrics().set_leaderless(leaderless.as_secs_f64());
             self.desk.show(Board {
                 report_places: node.report_places(now_ms),
                 ready: leads,
             });
             let busy = runtime.worker_total_busy_duration(0);
             meter.report(Instant::now(), busy, leads, self.desk.metrics());
-            // Channels let a loop that always finds something in them go on through a
-            // hundred goes. Answers and heartbeats would wait in their sockets meanwhile,
-            // and be late through no fault of their senders.
-            if go_began.elapsed() >= GO {
+            // Tokio's cooperative budget lets a loop that always finds something in its
+            // channels run through about a hundred batches. Answers and heartbeats would
+            // meanwhile wait in their sockets and appear late through no fault of their
+            // senders.
+            if batch_began.elapsed() >= MAX_BATCH_DURATION {
                 yield_now().await;
             }
         }
     }
 
-    /// An event that waits. The queues take turns: under load one of them is never
-    /// empty, and would hold up the others.
-    fn waiting(
+    /// Returns a queued event. The queues are served in turn, because under load one of
+    /// them is never empty and would starve the others.
+    fn next_queued(
         &mut self,
-        last: &mut Queue,
+        last: &mut EventQueue,
         outcomes: &mut UnboundedReceiver<Event>,
     ) -> Result<Option<Event>, StorageError> {
-        for _ in 0..Queue::COUNT {
+        for _ in 0..EventQueue::COUNT {
             *last = last.next();
             let event = match last {
-                Queue::Outcomes => outcomes.try_recv().ok(),
-                Queue::Signals => match self.signals.try_recv() {
+                EventQueue::Outcomes => outcomes.try_recv().ok(),
+                EventQueue::Signals => match self.signals.try_recv() {
                     Ok(signal) => signal_event(signal)?,
                     Err(_) => None,
                 },
-                Queue::Calls => self.calls.try_recv().ok().map(call_event),
+                EventQueue::Calls => self.calls.try_recv().ok().map(call_event),
             };
             if event.is_some() {
                 return Ok(event);
@@ -232,13 +235,13 @@
         Ok(None)
     }
 
-    /// `true` at the end of a planned stop.
+    /// Carries out effects. Returns `true` at the end of a planned stop.
     fn carry_out(
         &self,
         effects: Vec<Effect>,
         disk: &Sender<storage::Job>,
         outside: &Rc<dyn Outside>,
-        done: &UnboundedSender<Event>,
+        completions: &UnboundedSender<Event>,
     ) -> bool {
         let mut stopped = false;
         for effect in effects {
@@ -247,18 +250,21 @@
                 Effect::Send { to, message } => self.links.send(&to, &message),
                 Effect::Persist { token, records } => {
                     if disk.send(storage::Job { token, records }).is_err() {
-                        tracing::error!("disk: its thread has ended");
+                        tracing::error!("disk: the writer thread has ended");
                     }
                 }
                 Effect::Order(order) => {
                     let id = order.id;
                     let outcome = outside.order(order);
-                    spawn(done, outcome, move |outcome| Event::Ordered { id, outcome });
+                    spawn_with_event(completions, outcome, move |outcome| Event::Ordered {
+                        id,
+                        outcome,
+                    });
                 }
                 Effect::OrderMachine(order) => {
                     let id = order.id;
                     let outcome = outside.order_machine(order);
-                    spawn(done, outcome, move |outcome| Event::MachineOrdered {
+                    spawn_with_event(completions, outcome, move |outcome| Event::MachineOrdered {
                         id,
                         outcome,
                     });
@@ -266,7 +272,9 @@
                 Effect::AbortOrders => outside.abort_orders(),
                 Effect::ListMachines => {
                     let list = outside.list_machines();
-                    spawn(done, list, |machines| Event::MachinesListed { machines });
+                    spawn_with_event(completions, list, |machines| Event::MachinesListed {
+                        machines,
+                    });
                 }
                 Effect::Advise {
                     id,
@@ -275,19 +283,22 @@
                     timeout_ms,
                 } => {
                     let answer = outside.advise(step, workers, timeout_ms);
-                    spawn(done, answer, move |allowed| Event::Advised { id, allowed });
+                    spawn_with_event(completions, answer, move |allowed| Event::Advised {
+                        id,
+                        allowed,
+                    });
                 }
-                Effect::Count(decision) => self.desk.metrics().decided(decision),
+                Effect::Count(decision) => self.desk.metrics().count_decision(decision),
                 Effect::Stopped => stopped = true,
             }
         }
         stopped
     }
 
-    /// Runs an entry instance; a planned stop ends when no call is open, or just
-    /// before `grace_ms` are over.
+    /// Runs an entry instance. A planned stop ends when no call is open, or shortly before
+    /// `grace_ms` have passed.
     pub async fn run_entry(mut self, mut gateway: Gateway, grace_ms: u64) {
-        let mut tick = interval(ENTRY_TICK);
+        let mut tick = interval(ENTRY_TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut stop_by_ms = None;
         loop {
@@ -332,15 +343,15 @@
     }
 }
 
-fn spawn<T: 'static>(
-    done: &UnboundedSender<Event>,
+fn spawn_with_event<T: 'static>(
+    completions: &UnboundedSender<Event>,
     work: Local<T>,
     event: impl FnOnce(T) -> Event + 'static,
 ) {
-    let done = done.clone();
+    let completions = completions.clone();
     tokio::task::spawn_local(async move {
-        // The loop has ended if nobody takes it.
-        let _ = done.send(event(work.await));
+        // The receiver is gone only if the loop has ended.
+        let _ = completions.send(event(work.await));
     });
 }
 
--- a/src/control/effect.rs
+++ b/src/control/effect.rs
@@ -2,51 +2,51 @@
 use crate::consensus::Record;
 use crate::model::{EntryName, InstanceName};
 
-/// Everything that a [`super::Node`] wants done.
+/// An effect that a [`super::Node`] requests from its driver.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Answer a call that came in at this instance.
     Answer {
-        /// From the call.
+        /// The id of the call.
         id: u64,
         /// The answer.
         answer: Answer,
     },
-    /// Send to a peer.
+    /// Send a message to a peer.
     Send {
-        /// Whom.
+        /// The receiver.
         to: EntryName,
-        /// What.
+        /// The message.
         message: Box<PeerMessage>,
     },
-    /// Write and sync.
+    /// Write records to the log on disk and sync them.
     Persist {
-        /// Names the write.
+        /// Identifies the write in [`super::Event::Persisted`].
         token: u64,
-        /// What to write.
+        /// The records.
         records: Vec<Record>,
     },
-    /// Order a worker.
+    /// Send an order to a worker.
     Order(Order),
-    /// Order the platform.
+    /// Send an order to the machine manager.
     OrderMachine(MachineOrder),
-    /// Throw away every order to workers and the keeper that has no answer yet.
+    /// Abort all orders to workers and the machine manager that have no answer yet.
     AbortOrders,
-    /// Ask the keeper for the list of all machines.
+    /// Request the list of all machines from the machine manager.
     ListMachines,
     /// Ask the advisor which workers may run a step.
     Advise {
-        /// Names the question.
+        /// The id of the request.
         id: u64,
-        /// The step: job, occurrence and step of this task.
+        /// A task of the step, which identifies the job, the occurrence and the step.
         step: crate::jobs::TaskId,
         /// The workers to ask about.
         workers: Vec<InstanceName>,
-        /// How long its answer is waited for.
+        /// How long the answer is awaited.
         timeout_ms: u64,
     },
-    /// Count a decision.
+    /// Count a decision in the metrics.
     Count(Decision),
-    /// The planned stop is over.
+    /// The planned stop is complete.
     Stopped,
 }
--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -1,58 +1,57 @@
 use super::{Call, Machine, MachineOutcome, OrderOutcome, PeerMessage};
 use crate::model::EntryName;
 
-/// Everything that can happen to a [`super::Node`].
+/// An event that a [`super::Node`] handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// A peer sent something.
+    /// A peer sent a message.
     Peer {
-        /// Who.
+        /// The sender.
         from: EntryName,
-        /// What.
+        /// The message.
         message: Box<PeerMessage>,
     },
     /// A write to the data folder is synced.
     Persisted {
-        /// Names the write.
+        /// Identifies the write, from [`super::Effect::Persist`].
         token: u64,
     },
     /// A call came in at this instance.
     Call {
-        /// Names it in the answer.
+        /// The id that the answer repeats.
         id: u64,
         /// The call.
         call: Call,
     },
-    /// What came of an order to a worker.
+    /// The outcome of an order to a worker.
     Ordered {
-        /// From the order.
+        /// The id of the order.
         id: u64,
-        /// What came of it.
+        /// The outcome.
         outcome: OrderOutcome,
     },
-    /// What came of an order to the platform.
+    /// The outcome of an order to the machine manager.
     MachineOrdered {
-        /// From the order.
+        /// The id of the order.
         id: u64,
-        /// What came of it.
+        /// The outcome.
         outcome: MachineOutcome,
     },
-    /// The keeper's list of the machines, or none if it did not answer.
+    /// The machine manager's answer to a request for its list.
     MachinesListed {
-        /// All machines.
+        /// All machines, or `None` if it did not answer.
         machines: Option<Vec<Machine>>,
     },
-    /// The advisor's answer about a step: workers with their tickets, or none if
-    /// it did not answer.
+    /// The advisor's answer about a step.
     Advised {
-        /// From the question.
+        /// The id of the request.
         id: u64,
-        /// Each allowed worker with its ticket.
+        /// Each allowed worker with its ticket, or `None` if the advisor did not answer.
         allowed: Option<Vec<(crate::model::InstanceName, String)>>,
     },
-    /// Other control instances are named in the settings.
+    /// The settings name other control instances.
     Found {
         /// Their names.
         members: Vec<EntryName>,
--- a/src/control/gateway.rs
+++ b/src/control/gateway.rs
@@ -1,85 +1,87 @@
-use super::{Answer, Call, PeerMessage, Relay, RelayStep};
+use super::{Answer, Call, PeerMessage, Relay, RelayAction};
 use crate::model::EntryName;
 
-/// How many control instances are asked at once for the leader, in turn.
-const GREETED_MAX: usize = 3;
-/// How often the leader is asked for a sign of life. Three fit into
-/// [`HEARD_MS`], so that one lost message takes no instance out of rotation.
-const HELLO_MS: u64 = 400;
-/// Without a sign of life for this long the instance reports that it is not ready,
-/// so that callers reach the leader by another one.
-const HEARD_MS: u64 = 1_500;
-
-/// How often the standby is greeted. The link stays open for longer without a word.
-const STANDBY_HELLO_MS: u64 = 1_000;
-/// Without a sign of life for this long, two greetings in a row were lost: this zone
-/// may be cut off.
-const UNHEARD_MS: u64 = 1_000;
-/// How long a call then waits for the leader to come back. An election takes twice as
-/// long, but another instance may know the winner.
-const HOPE_MS: u64 = 800;
-
-/// What an entry instance does: it hands callers' calls on to the leader, and
-/// knows whether it could.
+/// Maximum number of control instances that are asked for the leader at once, in
+/// round-robin order.
+const MAX_HELLO_TARGETS: usize = 3;
+/// Interval between hellos to the leader. Three fit into [`LEADER_TIMEOUT_MS`], so that one
+/// lost message does not take the instance out of rotation.
+const HELLO_INTERVAL_MS: u64 = 400;
+/// Time without an answer of the leader after which the instance reports that it is not
+/// ready, so that callers use another instance.
+const LEADER_TIMEOUT_MS: u64 = 1_500;
+
+/// Interval between hellos to the backup peer. The link stays open for longer than this
+/// without a message.
+const BACKUP_HELLO_INTERVAL_MS: u64 = 1_000;
+/// Time without an answer of the leader after which two hellos in a row were lost. This
+/// zone may be cut off.
+const SUSPECT_LEADER_MS: u64 = 1_000;
+/// Maximum age of a call while the leader may be cut off. An election takes twice as long,
+/// but another entry instance may already know the winner.
+const MAX_CALL_AGE_WITHOUT_LEADER_MS: u64 = 800;
+
+/// The decision logic of an entry instance: forwards callers' calls to the leader and
+/// tracks whether the leader can be reached.
 #[derive(Debug)]
 pub struct Gateway {
     seeds: Vec<EntryName>,
     relay: Relay,
-    heard_ms: Option<u64>,
-    hello_ms: u64,
-    /// The highest term that a leader was named in.
+    last_heard_ms: Option<u64>,
+    next_hello_ms: u64,
+    /// The highest term for which a leader was named.
     term: u64,
-    standby: Standby,
-    /// Whose turn it is to be asked.
-    turn: usize,
+    backup: BackupPeer,
+    /// Index of the control instance that is asked next.
+    next_member: usize,
 }
 
-/// A control instance beside the leader that is greeted as well: it tells at once when
-/// another one leads.
+/// A control instance besides the leader that also receives hellos. It announces a new
+/// leader at once.
 #[derive(Debug, Default)]
-struct Standby {
+struct BackupPeer {
     name: Option<EntryName>,
-    heard_ms: u64,
-    hello_ms: u64,
+    last_heard_ms: u64,
+    next_hello_ms: u64,
 }
 
-/// Everything that a [`Gateway`] wants done.
+/// An effect that a [`Gateway`] requests from its owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GatewayEffect {
     /// Answer a call.
     Answer {
-        /// Names the call.
+        /// The id of the call.
         id: u64,
         /// The answer.
         answer: Answer,
     },
-    /// Send to a control instance.
+    /// Send a message to a control instance.
     Send {
-        /// Which.
+        /// The receiver.
         to: EntryName,
-        /// What.
+        /// The message.
         message: PeerMessage,
     },
 }
 
 impl Gateway {
-    /// One that knows these control instances. `turn` should differ from instance to instance,
-    /// so that they do not all ask the same one.
-    pub fn new(seeds: Vec<EntryName>, turn: usize) -> Self {
+    /// Creates a gateway that knows these control instances. `next_member` should differ
+    /// from instance to instance, so that they do not all ask the same one first.
+    pub fn new(seeds: Vec<EntryName>, next_member: usize) -> Self {
         let mut relay = Relay::default();
         relay.set_members(seeds.clone());
         Self {
             seeds,
             relay,
-            heard_ms: None,
-            hello_ms: 0,
+            last_heard_ms: None,
+            next_hello_ms: 0,
             term: 0,
-            standby: Standby::default(),
-            turn,
+            backup: BackupPeer::default(),
+            next_member,
         }
     }
 
-    /// Knows of control instances named in changed settings.
+    /// Adds the control instances that are named in changed settings.
     pub fn add_seeds(&mut self, seeds: Vec<EntryName>) {
         for seed in seeds {
             if !self.seeds.contains(&seed) {
@@ -89,17 +91,18 @@
         self.relay.set_members(self.seeds.clone());
     }
 
-    /// Whether the leader was heard lately.
+    /// Returns whether the leader was heard recently.
     pub fn is_ready(&self, now_ms: u64) -> bool {
-        self.heard_ms.is_some_and(|at| now_ms < at + HEARD_MS)
+        self.last_heard_ms
+            .is_some_and(|at| now_ms < at + LEADER_TIMEOUT_MS)
     }
 
-    /// How many calls wait for an answer.
+    /// Returns the number of calls that await an answer.
     pub fn waiting(&self) -> usize {
         self.relay.waiting()
     }
 
-    /// Takes a call, to be given up at `give_up_ms`.
+    /// Adds a call, to be given up at `give_up_ms`.
     pub fn call(
         &mut self,
         now_ms: u64,
@@ -107,19 +110,19 @@
         call: Call,
         give_up_ms: u64,
     ) -> Vec<GatewayEffect> {
-        let steps = self.relay.open(now_ms, id, call, give_up_ms);
-        steps.into_iter().map(effect).collect()
+        let actions = self.relay.open(now_ms, id, call, give_up_ms);
+        actions.into_iter().map(effect_from).collect()
     }
 
-    /// Takes a message from a control instance.
+    /// Handles a message from a control instance.
     pub fn message(
         &mut self,
         now_ms: u64,
         from: &EntryName,
         message: PeerMessage,
     ) -> Vec<GatewayEffect> {
-        let steps = match message {
-            PeerMessage::Answer { id, answer } => self.relay.answered(now_ms, id, answer),
+        let actions = match message {
+            PeerMessage::Answer { id, answer } => self.relay.handle_answer(now_ms, id, answer),
             PeerMessage::Welcome {
                 leader,
                 term,
@@ -131,7 +134,7 @@
             | PeerMessage::Orders { .. }
             | PeerMessage::Outcomes { .. } => Vec::new(),
         };
-        steps.into_iter().map(effect).collect()
+        actions.into_iter().map(effect_from).collect()
     }
 
     fn welcome(
@@ -141,12 +144,12 @@
         leader: Option<EntryName>,
         term: u64,
         mut members: Vec<EntryName>,
-    ) -> Vec<RelayStep> {
+    ) -> Vec<RelayAction> {
         if leader.as_ref() == Some(from) {
-            self.heard_ms = Some(now_ms);
+            self.last_heard_ms = Some(now_ms);
         }
-        if self.standby.name.as_ref() == Some(from) {
-            self.standby.heard_ms = now_ms;
+        if self.backup.name.as_ref() == Some(from) {
+            self.backup.last_heard_ms = now_ms;
         }
         for seed in &self.seeds {
             if !members.contains(seed) {
@@ -155,76 +158,80 @@
         }
         self.relay.set_members(members);
         let Some(named) = leader.as_ref().filter(|_| term >= self.term) else {
-            // Someone who heard it long ago may name a leader that is over.
+            // The sender may have stale information and name an earlier leader.
             return Vec::new();
         };
-        if named != from && self.relay.is_denied(now_ms, named) {
+        if named != from && self.relay.is_recent_non_leader(now_ms, named) {
             return Vec::new();
         }
         if term > self.term {
-            self.hello_ms = now_ms;
+            self.next_hello_ms = now_ms;
         }
         self.term = term;
         self.relay.set_leader(now_ms, leader)
     }
 
-    /// Asks for signs of life, sends calls again and gives up those that are over.
+    /// Sends hellos that are due, resends calls, and gives up those whose time is over.
     pub fn tick(&mut self, now_ms: u64) -> Vec<GatewayEffect> {
-        if self.heard_ms.is_some_and(|at| now_ms >= at + UNHEARD_MS) {
-            let before_ms = now_ms.saturating_sub(HOPE_MS);
-            self.relay.give_up_from_before(now_ms, before_ms);
+        if self
+            .last_heard_ms
+            .is_some_and(|at| now_ms >= at + SUSPECT_LEADER_MS)
+        {
+            let before_ms = now_ms.saturating_sub(MAX_CALL_AGE_WITHOUT_LEADER_MS);
+            self.relay.give_up_older_than(now_ms, before_ms);
         }
-        let steps = self.relay.tick(now_ms);
-        let mut effects: Vec<_> = steps.into_iter().map(effect).collect();
-        if now_ms >= self.hello_ms {
-            self.hello_ms = now_ms + HELLO_MS;
-            let greeted = match self.relay.leader().filter(|_| self.is_ready(now_ms)) {
+        let actions = self.relay.tick(now_ms);
+        let mut effects: Vec<_> = actions.into_iter().map(effect_from).collect();
+        if now_ms >= self.next_hello_ms {
+            self.next_hello_ms = now_ms + HELLO_INTERVAL_MS;
+            let targets = match self.relay.leader().filter(|_| self.is_ready(now_ms)) {
                 Some(leader) => vec![leader.clone()],
                 None => self.next_members(),
             };
-            effects.extend(greeted.into_iter().map(hello));
+            effects.extend(targets.into_iter().map(hello));
         }
-        effects.extend(self.greet_standby(now_ms).map(hello));
+        effects.extend(self.next_backup_hello(now_ms).map(hello));
         effects
     }
 
-    /// Those whose turn it is, of all that are known.
+    /// Returns the next control instances in round-robin order.
     fn next_members(&mut self) -> Vec<EntryName> {
         let members = self.relay.members();
-        let count = members.len().min(GREETED_MAX);
+        let count = members.len().min(MAX_HELLO_TARGETS);
         let turns = members
             .iter()
             .cycle()
-            .skip(self.turn % members.len().max(1));
+            .skip(self.next_member % members.len().max(1));
         let next = turns.take(count).cloned().collect();
-        self.turn = self.turn.wrapping_add(count);
+        self.next_member = self.next_member.wrapping_add(count);
         next
     }
 
-    /// The standby, if it is to be greeted now; another one if it was not heard.
-    fn greet_standby(&mut self, now_ms: u64) -> Option<EntryName> {
+    /// Returns the backup peer if its hello is due. A backup that was not heard is replaced
+    /// by another instance.
+    fn next_backup_hello(&mut self, now_ms: u64) -> Option<EntryName> {
         let leader = self
             .relay
             .leader()
             .filter(|_| self.is_ready(now_ms))?
             .clone();
-        if now_ms < self.standby.hello_ms {
+        if now_ms < self.backup.next_hello_ms {
             return None;
         }
-        let unheard = now_ms >= self.standby.heard_ms + HEARD_MS;
+        let unheard = now_ms >= self.backup.last_heard_ms + LEADER_TIMEOUT_MS;
         let name = self
-            .standby
+            .backup
             .name
             .take()
             .filter(|name| *name != leader && !unheard);
         let name = name.or_else(|| {
-            self.standby.heard_ms = now_ms;
+            self.backup.last_heard_ms = now_ms;
             let mut next = self.next_members();
             next.retain(|name| *name != leader);
             next.into_iter().next()
         });
-        self.standby.name.clone_from(&name);
-        self.standby.hello_ms = now_ms + STANDBY_HELLO_MS;
+        self.backup.name.clone_from(&name);
+        self.backup.next_hello_ms = now_ms + BACKUP_HELLO_INTERVAL_MS;
         name
     }
 }
@@ -236,12 +243,12 @@
     }
 }
 
-fn effect(step: RelayStep) -> GatewayEffect {
-    match step {
-        RelayStep::Send { to, id, call } => GatewayEffect::Send {
+fn effect_from(action: RelayAction) -> GatewayEffect {
+    match action {
+        RelayAction::Send { to, id, call } => GatewayEffect::Send {
             to,
             message: PeerMessage::Call { id, call },
         },
-        RelayStep::Answer { id, answer } => GatewayEffect::Answer { id, answer },
+        RelayAction::Answer { id, answer } => GatewayEffect::Answer { id, answer },
     }
 }
--- a/src/control/loop_meter.rs
+++ b/src/control/loop_meter.rs
@@ -1,54 +1,54 @@
-//! Where the time of a control instance's loop goes, and how far it is behind.
+//! Measures where the time of a control instance's event loop goes, and how far it lags.
 //!
-//! All decisions are made in one loop. One that gets more events than it can handle in
-//! time answers everything late, while its mean use of the processor over minutes tells
-//! nothing: what it was busy with in the second that matters, how many events waited and
-//! how late it came to them has to be on record.
+//! All decisions are made in one loop. When it gets more events than it can handle,
+//! everything is answered late, although the mean processor use over minutes looks normal.
+//! So the meter records for each second which events took the time, how many events were
+//! queued and how late the loop was.
 
 use std::time::{Duration, Instant};
 
 use super::{Event, Metrics, OrderOutcome, PeerMessage};
 
-/// Between two lines of the log, and two updates of the metrics.
-const REPORT: Duration = Duration::from_secs(1);
+/// Interval between two log lines and metric updates.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the loop handles, by what it costs.
+/// Kinds of work of the loop, grouped by their cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum EventKind {
-    /// Time: passes of the scheduler, renewals that are due, machines.
+    /// A tick: scheduling passes, lease renewals that are due, machines.
     #[display("tick")]
     Tick,
-    /// A peer's message.
+    /// A message from a peer.
     #[display("peer")]
     Peer,
-    /// What came of orders that a follower carried out.
+    /// Outcomes of orders that a follower carried out.
     #[display("carried")]
     Carried,
     /// A write is synced.
     #[display("persisted")]
     Persisted,
-    /// A call of this instance's listeners.
+    /// A call from this instance's listeners.
     #[display("call")]
     Call,
-    /// A worker's listing.
+    /// A worker's answer to a lease renewal, with its running tasks.
     #[display("listing")]
     Listing,
-    /// An order's answer but for listings.
+    /// The answer to any other order.
     #[display("order")]
     Order,
     /// An order without an answer.
     #[display("unanswered")]
     Unanswered,
-    /// Anything else.
+    /// Any other event.
     #[display("other")]
     Other,
-    /// What the decisions want done, of all events.
+    /// Carrying out the effects of all events.
     #[display("effects")]
     Effects,
 }
 
-/// All kinds, in the order of their numbers.
-const KINDS: [EventKind; 10] = [
+/// All kinds in declaration order, which is also the order of their totals.
+const EVENT_KINDS: [EventKind; 10] = [
     EventKind::Tick,
     EventKind::Peer,
     EventKind::Carried,
@@ -85,65 +85,65 @@
     }
 }
 
-/// What one kind took since the last report.
+/// The work of one kind since the last report.
 #[derive(Clone, Copy, Debug, Default)]
-struct Spent {
+struct KindTotals {
     events: u64,
     time: Duration,
     longest: Duration,
 }
 
-/// Adds up what the loop does, and reports it once a second.
+/// Collects statistics on the loop and reports them once a second.
 #[derive(Debug)]
 pub struct LoopMeter {
     since: Instant,
-    spent: [Spent; KINDS.len()],
-    waiting_most: usize,
-    late_most: Duration,
+    totals: [KindTotals; EVENT_KINDS.len()],
+    max_queue_length: usize,
+    max_lateness: Duration,
     busy: Duration,
 }
 
 impl LoopMeter {
-    /// A meter that begins now.
+    /// Creates a meter whose first interval begins now.
     pub fn new(now: Instant) -> Self {
         Self {
             since: now,
-            spent: Default::default(),
-            waiting_most: 0,
-            late_most: Duration::ZERO,
+            totals: Default::default(),
+            max_queue_length: 0,
+            max_lateness: Duration::ZERO,
             busy: Duration::ZERO,
         }
     }
 
-    /// An event of this kind took so long.
-    pub fn handled(&mut self, kind: EventKind, took: Duration) {
-        let spent = &mut self.spent[kind as usize];
-        spent.events += 1;
-        spent.time += took;
-        spent.longest = spent.longest.max(took);
+    /// Records an event of this kind and the time that it took.
+    pub fn record_event(&mut self, kind: EventKind, took: Duration) {
+        let totals = &mut self.totals[kind as usize];
+        totals.events += 1;
+        totals.time += took;
+        totals.longest = totals.longest.max(took);
     }
 
-    /// So many events wait.
-    pub fn waiting(&mut self, events: usize) {
-        self.waiting_most = self.waiting_most.max(events);
+    /// Records the number of queued events.
+    pub fn record_queue_length(&mut self, events: usize) {
+        self.max_queue_length = self.max_queue_length.max(events);
     }
 
-    /// The loop came to something so long after it was due.
-    pub fn late(&mut self, late: Duration) {
-        self.late_most = self.late_most.max(late);
+    /// Records how long after its due time a tick was handled.
+    pub fn record_lateness(&mut self, late: Duration) {
+        self.max_lateness = self.max_lateness.max(late);
     }
 
-    /// Reports and begins anew, if it is time. `busy` is how long the thread with the
-    /// loop has worked since it began, calls and listeners included.
+    /// Reports and resets the statistics if a report is due. `busy` is the total busy time
+    /// of the loop's thread since its start, including calls and listeners.
     pub fn report(&mut self, now: Instant, busy: Duration, leads: bool, metrics: &Metrics) {
         let passed = now.duration_since(self.since);
-        if passed < REPORT {
+        if passed < REPORT_INTERVAL {
             return;
         }
-        for (kind, spent) in KINDS.iter().zip(&self.spent) {
-            metrics.spent(*kind, spent.events, spent.time.as_secs_f64());
+        for (kind, totals) in EVENT_KINDS.iter().zip(&self.totals) {
+            metrics.record_loop_time(*kind, totals.events, totals.time.as_secs_f64());
         }
-        metrics.loop_late(self.waiting_most, self.late_most.as_secs_f64());
+        metrics.set_loop_lag(self.max_queue_length, self.max_lateness.as_secs_f64());
         self.log(passed, busy.saturating_sub(self.busy), leads);
         *self = Self {
             busy,
@@ -153,14 +153,14 @@
 
     fn log(&self, passed: Duration, busy: Duration, leads: bool) {
         let ms = |time: Duration| (time.as_secs_f64() * 1_000.0).round() as u64;
-        let of = |kind: EventKind| &self.spent[kind as usize];
-        let longest = self.spent.iter().map(|spent| spent.longest).max();
+        let of = |kind: EventKind| &self.totals[kind as usize];
+        let longest = self.totals.iter().map(|totals| totals.longest).max();
         tracing::info!(
             leads,
             passed_ms = ms(passed),
             busy_ms = ms(busy),
-            late_most_ms = ms(self.late_most),
-            waiting_most = self.waiting_most,
+            late_most_ms = ms(self.max_lateness),
+            waiting_most = self.max_queue_length,
             longest_ms = ms(longest.unwrap_or_default()),
             tick_ms = ms(of(EventKind::Tick).time),
             tick_longest_ms = ms(of(EventKind::Tick).longest),
--- a/src/control/metrics.rs
+++ b/src/control/metrics.rs
@@ -6,11 +6,11 @@
 
 use super::{Answer, Decision, EventKind, Refusal};
 
-/// The shortest latency that is told apart, in seconds, the factor from one bucket to
-/// the next, and how many there are: 1 ms to 8 s.
-const BUCKETS: (f64, f64, usize) = (0.001, 2.0, 14);
+/// Buckets of the latency histogram: the smallest upper bound in seconds, the factor
+/// between bounds, and their number. They range from 1 ms to 8 s.
+const LATENCY_BUCKETS_S: (f64, f64, usize) = (0.001, 2.0, 14);
 
-/// Counters and latencies of an instance, as text for whoever collects them.
+/// Counters and latencies of an instance, in the Prometheus text format.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -27,8 +27,9 @@
 
 impl Default for Metrics {
     fn default() -> Self {
-        let (start, factor, count) = BUCKETS;
-        let buckets = exponential_buckets(start, factor, count).expect("a rising row of buckets");
+        let (start, factor, count) = LATENCY_BUCKETS_S;
+        let buckets = exponential_buckets(start, factor, count)
+            .expect("the start is positive and the factor above 1");
         let latency = HistogramOpts::new(
             "rosemarygauge_call_seconds",
             "From a call's arrival to its answer",
@@ -45,31 +46,33 @@
         );
         let metrics = Self {
             registry: Registry::new(),
-            calls: IntCounterVec::new(calls, &["outcome"]).expect("a plain name and label"),
+            calls: IntCounterVec::new(calls, &["outcome"])
+                .expect("the name and label are valid and the help is not empty"),
             decisions: IntCounterVec::new(decisions, &["decision"])
-                .expect("a plain name and label"),
-            latency: Histogram::with_opts(latency.buckets(buckets)).expect("a plain name"),
+                .expect("the name and label are valid and the help is not empty"),
+            latency: Histogram::with_opts(latency.buckets(buckets))
+                .expect("the name is valid and the help is not empty"),
             open: IntGauge::new("rosemarygauge_calls_open", "Calls that wait for an answer")
-                .expect("a plain name"),
+                .expect("the name is valid and the help is not empty"),
             loop_seconds: CounterVec::new(loop_seconds, &["event"])
-                .expect("a plain name and label"),
+                .expect("the name and label are valid and the help is not empty"),
             loop_events: IntCounterVec::new(loop_events, &["event"])
-                .expect("a plain name and label"),
+                .expect("the name and label are valid and the help is not empty"),
             loop_waiting: IntGauge::new(
                 "rosemarygauge_loop_waiting_most",
                 "Events that waited at once for the loop, at most in the last second",
             )
-            .expect("a plain name"),
+            .expect("the name is valid and the help is not empty"),
             loop_late: Gauge::new(
                 "rosemarygauge_loop_late_most_seconds",
                 "How late the loop came to its time, at most in the last second",
             )
-            .expect("a plain name"),
+            .expect("the name is valid and the help is not empty"),
             leaderless: Gauge::new(
                 "rosemarygauge_leaderless_seconds",
                 "How long no leader has been known here",
             )
-            .expect("a plain name"),
+            .expect("the name is valid and the help is not empty"),
         };
         let registered = [
             metrics.registry.register(Box::new(metrics.calls.clone())),
@@ -95,54 +98,55 @@
                 .register(Box::new(metrics.leaderless.clone())),
         ];
         for result in registered {
-            result.expect("names that differ");
+            result.expect("each name is registered once");
         }
         metrics
     }
 }
 
 impl Metrics {
-    /// Shows these beside its own.
+    /// Registers further collectors.
     pub fn register(&self, collectors: Vec<Box<dyn Collector>>) {
         for collector in collectors {
             if let Err(err) = self.registry.register(collector) {
-                tracing::error!(%err, "metrics: a collector cannot be shown");
+                tracing::error!(%err, "metrics: a collector cannot be registered");
             }
         }
     }
 
-    /// A call was answered after this time.
-    pub fn answered(&self, answer: &Answer, seconds: f64) {
+    /// Records the answer to a call and its latency in seconds.
+    pub fn record_answer(&self, answer: &Answer, seconds: f64) {
         self.calls.with_label_values(&[outcome(answer)]).inc();
         self.latency.observe(seconds);
     }
 
-    /// A decision was made.
-    pub fn decided(&self, decision: Decision) {
+    /// Counts a decision.
+    pub fn count_decision(&self, decision: Decision) {
         let name = decision.to_string();
         self.decisions.with_label_values(&[name.as_str()]).inc();
     }
 
-    /// The loop handled so many events of a kind, in so long.
-    pub fn spent(&self, kind: EventKind, events: u64, seconds: f64) {
+    /// Adds the number of events of a kind that the loop handled and the time that they
+    /// took.
+    pub fn record_loop_time(&self, kind: EventKind, events: u64, seconds: f64) {
         let name = kind.to_string();
         let labels = [name.as_str()];
         self.loop_events.with_label_values(&labels).inc_by(events);
         self.loop_seconds.with_label_values(&labels).inc_by(seconds);
     }
 
-    /// How far the loop was behind in the last second, at most.
-    pub fn loop_late(&self, waiting: usize, late_seconds: f64) {
+    /// Sets the longest queue of the loop and its largest delay in the last second.
+    pub fn set_loop_lag(&self, waiting: usize, late_seconds: f64) {
         self.loop_waiting.set(waiting as i64);
         self.loop_late.set(late_seconds);
     }
 
-    /// How long nobody has led.
-    pub fn leaderless(&self, seconds: f64) {
+    /// Sets the time for which there has been no leader.
+    pub fn set_leaderless(&self, seconds: f64) {
         self.leaderless.set(seconds);
     }
 
-    /// All of them, as text, while so many calls are open.
+    /// Returns all metrics as text. `open_calls` is the number of calls that are open now.
     pub fn text(&self, open_calls: usize) -> String {
         self.open.set(open_calls as i64);
         let families = self.registry.gather();
@@ -152,7 +156,7 @@
     }
 }
 
-/// The outcome of a call: one of few.
+/// Returns the metric label of a call's outcome. There are few distinct labels.
 pub fn outcome(answer: &Answer) -> &'static str {
     match answer {
         Answer::Done => "done",
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,10 +1,10 @@
 //! Control: one leader among the control instances decides where every task runs.
 //!
-//! What must survive lies in [`State`], changed by [`Change`]s of the replicated
-//! log. What the leader believes of its workers (their clocks, leases and what
-//! runs there) lies in [`Fleet`] and is learnt anew by each leader. [`Node`] ties
-//! both together: events in, effects out, with `now_ms` as an argument. Entry
-//! instances and followers hand calls on to the leader with a [`Relay`].
+//! [`State`] is the replicated state, which [`Change`]s in the log modify. [`Fleet`] is the
+//! leader's view of its workers: their clocks, their leases and what runs on them. Each new
+//! leader rebuilds it. [`Node`] combines both: it takes events and returns effects, with
+//! `now_ms` as an argument. Entry instances and followers forward calls to the leader with
+//! a [`Relay`].
 
 mod answer;
 mod arrivals;
@@ -107,7 +107,7 @@
 pub use policy_fault::PolicyFault;
 pub use queue::{Advice, Queue};
 pub use ranking::{Rank, Remaining, standing};
-pub use relay::{Relay, RelayStep};
+pub use relay::{Relay, RelayAction};
 pub use report::{Phase, Report};
 pub use reports::Reports;
 pub use runs::{RunLoad, Runs};
--- a/src/control/node/applied.rs
+++ b/src/control/node/applied.rs
@@ -1,32 +1,32 @@
-//! What follows from a command once it is applied.
+//! The leader's reaction to commands once they are applied to the state.
 
 use std::collections::BTreeSet;
 
 use super::super::{Answer, Change, Command};
 use super::Node;
-use super::lead::{Waiter, counts_as_size};
+use super::leader_state::{Waiter, counts_toward_sizes};
 use crate::jobs::JobId;
 
 impl Node {
-    /// Takes note of a command that is applied, if this instance leads.
-    pub(super) fn applied(&mut self, now_ms: u64, command: &Command) {
-        let Some(lead) = &mut self.lead else {
+    /// Handles an applied command if this instance leads.
+    pub(super) fn on_command_applied(&mut self, now_ms: u64, command: &Command) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let waiters = lead.pending.applied(command);
         let waiters = waiters.into_iter().chain(std::iter::repeat_with(|| None));
         for (change, waiter) in command.changes.iter().zip(waiters) {
-            self.change_applied(now_ms, change);
+            self.on_change_applied(now_ms, change);
             if let Some(waiter) = waiter {
-                self.waited(now_ms, waiter);
+                self.resolve_waiter(now_ms, waiter);
             }
         }
-        self.tell_ended(command);
+        self.log_finished_jobs(command);
     }
 
-    /// Says of each job that came to its end what took its time: one that waited long
-    /// found no room or no leader, one with more placements than tasks was run again.
-    fn tell_ended(&self, command: &Command) {
+    /// Logs for each job that ended where its time went. A long wait means that there was
+    /// no room or no leader; more placements than tasks mean that tasks were run again.
+    fn log_finished_jobs(&self, command: &Command) {
         let ends = command.changes.iter().filter_map(|change| match change {
             Change::End { task, .. } => Some(task.job),
             _ => None,
@@ -59,9 +59,9 @@
         }
     }
 
-    fn change_applied(&mut self, now_ms: u64, change: &Change) {
+    fn on_change_applied(&mut self, now_ms: u64, change: &Change) {
         let estimates = self.state.history().estimates();
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         lead.dirty = true;
@@ -86,10 +86,11 @@
             }
             Change::Report(report) => {
                 lead.fleet.meet(now_ms, &report.worker);
-                // Whoever was at this address before is asked at once: its successor
-                // says that it is over, sooner than its lease runs out.
-                let there = self.state.workers_at(report.address);
-                for name in there.filter(|name| **name != report.worker) {
+                // The previous workers at this address are asked at once. The new
+                // incarnation answers in their place, which ends them sooner than the
+                // expiry of their leases.
+                let at_address = self.state.workers_at(report.address);
+                for name in at_address.filter(|name| **name != report.worker) {
                     if let Some(link) = lead.fleet.link_mut(name) {
                         link.renewal_sent_ms = None;
                         link.renew_ms = now_ms;
@@ -97,7 +98,7 @@
                 }
             }
             Change::Lapse { worker } => {
-                lead.ending.remove(worker);
+                lead.workers_ending.remove(worker);
                 if let Some(link) = lead.fleet.link_mut(worker) {
                     let jobs = link.runs.keys().map(|(task, _)| task.job);
                     jobs.for_each(|job| lead.scheduler.touch(job));
@@ -105,7 +106,7 @@
                 }
             }
             Change::Gone { worker } => {
-                lead.ending.remove(worker);
+                lead.workers_ending.remove(worker);
                 if let Some(link) = lead.fleet.link(worker) {
                     let jobs = link.runs.keys().map(|(task, _)| task.job);
                     jobs.for_each(|job| lead.scheduler.touch(job));
@@ -115,17 +116,17 @@
                 lead.throttles.remove(worker);
             }
             Change::Due { job, occurrence } => {
-                lead.due.remove(&(*job, *occurrence));
+                lead.proposed_occurrences.remove(&(*job, *occurrence));
             }
             Change::UpkeepBegun { machine, .. } => {
                 let gone = lead.machines.is_gone(machine);
                 lead.upkeep.begun(now_ms, machine, gone);
             }
-            Change::Configure(_) => self.configured(),
-            Change::ConfigurePart(part) if part.is_last() => self.configured(),
+            Change::Configure(_) => self.on_configuration_changed(),
+            Change::ConfigurePart(part) if part.is_last() => self.on_configuration_changed(),
             Change::Accept { job, .. } => {
                 if let Some(job) = self.state.job(*job)
-                    && counts_as_size(job)
+                    && counts_toward_sizes(job)
                 {
                     lead.scheduler.arrived(job, estimates);
                 }
@@ -140,9 +141,10 @@
         }
     }
 
-    /// Another configuration may be in force: jobs may have other pools and ranks.
-    fn configured(&mut self) {
-        if let Some(lead) = &mut self.lead {
+    /// Schedules all active jobs again, because another configuration may assign them other
+    /// pools and ranks.
+    fn on_configuration_changed(&mut self) {
+        if let Some(lead) = &mut self.leader_state {
             for job in self.state.active() {
                 lead.scheduler.touch(job.id);
             }
@@ -156,7 +158,7 @@
         }
     }
 
-    fn waited(&mut self, now_ms: u64, waiter: Waiter) {
+    fn resolve_waiter(&mut self, now_ms: u64, waiter: Waiter) {
         match waiter {
             Waiter::Call(caller) => self.answer(&caller, Answer::Done),
             Waiter::Accept { caller, job } => {
@@ -167,14 +169,14 @@
                 let answer = known.map_or(Answer::Unknown, |_| Answer::Done);
                 self.answer(&caller, answer);
             }
-            Waiter::Place(start) => self.start(now_ms, &start),
+            Waiter::Place(start) => self.order_start(now_ms, &start),
             Waiter::Upkeep {
                 wave,
                 machine,
                 worker,
             } => self.begin_upkeep(wave, machine, worker),
             Waiter::Ended { worker, number } => {
-                if let Some(lead) = &mut self.lead
+                if let Some(lead) = &mut self.leader_state
                     && let Some(link) = lead.fleet.link_mut(&worker)
                 {
                     link.acknowledged = link.acknowledged.max(number);
--- a/src/control/node/calls.rs
+++ b/src/control/node/calls.rs
@@ -1,26 +1,26 @@
-//! What the leader answers to calls.
+//! The leader's handling of calls from callers, workers and operators.
 
 use std::sync::Arc;
 
-use super::super::call::job_below;
+use super::super::call::job_from_path;
 use super::super::{
     Answer, Call, Change, Configuration, ConfigurationPart, Phase, Place, Queue, Refusal, Report,
     Wave,
 };
-use super::lead::Waiter;
-use super::{Caller, Node};
+use super::leader_state::Waiter;
+use super::{CallOrigin, Node};
 use crate::jobs::{JobId, JobSpec, JobState};
 
 impl Node {
-    pub(super) fn answer_call(&mut self, now_ms: u64, caller: Caller, call: Call) {
+    pub(super) fn answer_call(&mut self, now_ms: u64, caller: CallOrigin, call: Call) {
         match call {
             Call::Submit { place, spec } => self.submit(caller, &place, spec),
             Call::Look { place } => {
-                let answer = self.look(&place);
+                let answer = self.look_up(&place);
                 self.answer(&caller, answer);
             }
             Call::Cancel { place } => self.cancel(caller, &place),
-            Call::Report(report) => self.report(now_ms, caller, report),
+            Call::Report(report) => self.accept_report(now_ms, caller, report),
             Call::Leave { worker } => {
                 if self.state.worker(&worker).is_none_or(|w| w.leaving) {
                     return self.answer(&caller, Answer::Done);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The queue at a place.
+    /// Returns the queue whose host and path prefix match a place.
     fn queue_at(&self, place: &Place) -> Result<&Queue, Refusal> {
         let configuration = self.state.configuration().ok_or(Refusal::NoConfiguration)?;
         configuration
@@ -54,19 +54,19 @@
             .ok_or(Refusal::NoQueue)
     }
 
-    /// The queue and the job that a place names.
+    /// Returns the queue and the job that a place names.
     fn job_at(&self, place: &Place) -> Result<(&Queue, JobId), Refusal> {
         let queue = self.queue_at(place)?;
-        let job = job_below(&place.path, &queue.path_prefix).ok_or(Refusal::NotKnown)?;
+        let job = job_from_path(&place.path, &queue.path_prefix).ok_or(Refusal::NotKnown)?;
         Ok((queue, job))
     }
 
-    fn submit(&mut self, caller: Caller, place: &Place, spec: Option<Arc<JobSpec>>) {
+    fn submit(&mut self, caller: CallOrigin, place: &Place, spec: Option<Arc<JobSpec>>) {
         let (queue, job) = match self.job_at(place) {
             Ok((queue, job)) => (queue.name.clone(), job),
             Err(refusal) => return self.answer(&caller, Answer::Refused(refusal)),
         };
-        // The same job again, also where its first answer was lost.
+        // A retry of the same submission, for example because its first answer was lost.
         if self.state.job(job).is_some() {
             return self.answer(&caller, Answer::Done);
         }
@@ -82,7 +82,7 @@
         self.propose(change, Some(Waiter::Accept { caller, job }));
     }
 
-    fn look(&self, place: &Place) -> Answer {
+    fn look_up(&self, place: &Place) -> Answer {
         let queue = match self.queue_at(place) {
             Ok(queue) => queue,
             Err(refusal) => return Answer::Refused(refusal),
@@ -90,14 +90,14 @@
         if place.path.len() <= queue.path_prefix.len() {
             return Answer::Pending(self.state.pending(&queue.name));
         }
-        let id = job_below(&place.path, &queue.path_prefix);
+        let id = job_from_path(&place.path, &queue.path_prefix);
         match id.and_then(|id| self.state.job(id)) {
             Some(job) => Answer::Job(job.state()),
             None => Answer::Refused(Refusal::NotKnown),
         }
     }
 
-    fn cancel(&mut self, caller: Caller, place: &Place) {
+    fn cancel(&mut self, caller: CallOrigin, place: &Place) {
         let job = match self.job_at(place) {
             Ok((_, job)) => job,
             Err(refusal) => return self.answer(&caller, Answer::Refused(refusal)),
@@ -108,14 +108,14 @@
                 self.answer(&caller, Answer::Done);
             }
             Some(JobState::Queued | JobState::Running) => {
-                tracing::info!(%job, "job: its caller cancels it");
+                tracing::info!(%job, "job: cancelled by its caller");
                 self.propose(Change::Cancel { job }, Some(Waiter::Call(caller)));
             }
         }
     }
 
-    fn report(&mut self, now_ms: u64, caller: Caller, report: Arc<Report>) {
-        let Some(lead) = &mut self.lead else {
+    fn accept_report(&mut self, now_ms: u64, caller: CallOrigin, report: Arc<Report>) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         if !lead.reports.is_newer(now_ms, &report) {
@@ -124,10 +124,11 @@
         if self.state.knows(&report) {
             return self.answer(&caller, Answer::Done);
         }
-        // What drains must not be given work by any later leader either.
+        // The draining phase is replicated so that no later leader assigns work to the
+        // worker either.
         tracing::info!(
             worker = %report.worker, pool = %report.pool, phase = %report.phase,
-            sequence = report.sequence, "worker: its report changes what is known"
+            sequence = report.sequence, "worker: a report changes its known state"
         );
         if report.phase == Phase::Draining {
             lead.scheduler.closed.insert(report.worker.clone());
@@ -135,7 +136,7 @@
         self.propose(Change::Report(report), Some(Waiter::Call(caller)));
     }
 
-    fn configure(&mut self, caller: Caller, configuration: Arc<Configuration>) {
+    fn configure(&mut self, caller: CallOrigin, configuration: Arc<Configuration>) {
         if let Err(fault) = configuration.check() {
             tracing::warn!(version = configuration.version, %fault, "configuration: refused");
             let refusal = Refusal::Wrong(fault.to_string());
@@ -156,7 +157,7 @@
         }
     }
 
-    fn start_wave(&mut self, now_ms: u64, caller: Caller, wave: Wave) {
+    fn start_wave(&mut self, now_ms: u64, caller: CallOrigin, wave: Wave) {
         if self.state.waves().contains_key(&wave.number) {
             return self.answer(&caller, Answer::Done);
         }
@@ -169,7 +170,7 @@
             machines = wave.machines.len(),
             down_max = wave.down_max,
             duration_ms = wave.duration_ms,
-            "wave: asked for"
+            "wave: requested"
         );
         self.propose(Change::Wave(wave), Some(Waiter::Call(caller)));
     }
--- a/src/control/node/carrying.rs
+++ b/src/control/node/carried_orders.rs
@@ -1,4 +1,5 @@
-//! Orders that followers carry out for the leader, on both sides.
+//! Orders that followers carry out on behalf of the leader: the leader's side and the
+//! follower's side.
 
 use super::super::carrier::FRESH_MS;
 use super::super::carriers::Losses;
@@ -8,9 +9,10 @@
 use crate::model::EntryName;
 
 impl Node {
-    /// On the leader: looks at its followers, and counts as unanswered what they lost.
-    pub(super) fn watch_carriers(&mut self, now_ms: u64) {
-        let Some(lead) = &mut self.lead else {
+    /// On the leader: updates the set of carriers, and treats the orders that a lost
+    /// carrier had as unanswered.
+    pub(super) fn update_carriers(&mut self, now_ms: u64) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let wanted = self
@@ -20,22 +22,23 @@
             .wanted(self.state.workers().len());
         let heard = self.replica.peers_heard(now_ms);
         let losses = lead.carriers.update(now_ms, &heard, wanted);
-        self.take_losses(now_ms, losses);
+        self.handle_carrier_losses(now_ms, losses);
     }
 
-    fn take_losses(&mut self, now_ms: u64, losses: Losses) {
+    fn handle_carrier_losses(&mut self, now_ms: u64, losses: Losses) {
         for _ in 0..losses.out {
             self.out.push(Effect::Count(Decision::CarrierOut));
         }
         for id in losses.orders {
             self.out.push(Effect::Count(Decision::OrderNotCarried));
-            self.ordered(now_ms, id, OrderOutcome::Unanswered);
+            self.finish_order(now_ms, id, OrderOutcome::Unanswered);
         }
     }
 
-    /// On the leader: what its decisions ordered leaves, one message to each follower.
-    pub(super) fn send_orders(&mut self, now_ms: u64) {
-        let Some(lead) = &mut self.lead else {
+    /// On the leader: sends the orders that are queued for carriers, in one message for
+    /// each.
+    pub(super) fn send_carrier_orders(&mut self, now_ms: u64) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         for (to, message) in lead.carriers.messages(now_ms, lead.term) {
@@ -43,8 +46,8 @@
         }
     }
 
-    /// On the leader: what came of orders that a follower carried out.
-    pub(super) fn outcomes_came(
+    /// On the leader: handles the outcomes of orders that a follower carried out.
+    pub(super) fn handle_outcomes(
         &mut self,
         now_ms: u64,
         from: &EntryName,
@@ -52,16 +55,16 @@
         outcomes: Vec<(u64, OrderOutcome)>,
         closing: bool,
     ) {
-        let of_lead = |lead: &&mut Box<super::lead::Lead>| lead.term == term;
-        let Some(lead) = self.lead.as_mut().filter(of_lead) else {
+        let is_of_term = |lead: &&mut Box<super::leader_state::LeaderState>| lead.term == term;
+        let Some(lead) = self.leader_state.as_mut().filter(is_of_term) else {
             return;
         };
         if closing {
             let losses = lead.carriers.closing(now_ms, from);
-            self.take_losses(now_ms, losses);
+            self.handle_carrier_losses(now_ms, losses);
         }
         for (id, outcome) in outcomes {
-            let Some(lead) = &mut self.lead else {
+            let Some(lead) = &mut self.leader_state else {
                 return;
             };
             if !lead.carriers.answered(from, id) {
@@ -73,12 +76,12 @@
                 let worker = sent.worker().clone();
                 lead.carriers.unreached(now_ms, &worker);
             }
-            self.ordered(now_ms, id, outcome);
+            self.finish_order(now_ms, id, outcome);
         }
     }
 
-    /// On a follower: carries out orders of the leader that it follows.
-    pub(super) fn orders_came(
+    /// On a follower: carries out orders of its leader.
+    pub(super) fn handle_orders(
         &mut self,
         now_ms: u64,
         from: &EntryName,
@@ -86,19 +89,23 @@
         heard: Stamp,
         orders: Vec<Order>,
     ) {
-        if !self.follows(from, term) {
+        if !self.is_follower_of(from, term) {
             tracing::info!(
                 %from, term, known = self.replica.term(), orders = orders.len(),
-                "carrier: orders of someone who does not lead here are dropped"
+                "carrier: orders are dropped, their sender is not the leader"
             );
             return;
         }
         let age_ms = self.replica.stamp_age_ms(now_ms, heard);
         if age_ms.is_none_or(|age_ms| age_ms > FRESH_MS) {
-            tracing::warn!(%from, term, ?age_ms, orders = orders.len(), "carrier: old orders are dropped");
+            tracing::warn!(
+                %from, term, ?age_ms, orders = orders.len(),
+                "carrier: orders are dropped, they are too old"
+            );
             let stale = orders.iter().map(|_| Effect::Count(Decision::OrderStale));
             self.out.extend(stale);
-            // An order for another start of this process waits for no answer of this one.
+            // Without an age, the stamp is of an earlier start of this process, and the
+            // orders were for that start. Their leader expects no answer from this one.
             if age_ms.is_some() {
                 self.carrier.refuse(now_ms, from, term, &orders);
             }
@@ -110,25 +117,25 @@
         }
     }
 
-    /// Whether this instance follows this leader in this term, and heard it lately.
-    fn follows(&self, leader: &EntryName, term: u64) -> bool {
+    /// Returns whether this instance follows `leader` in `term` and has heard it recently.
+    fn is_follower_of(&self, leader: &EntryName, term: u64) -> bool {
         self.replica.leader() == Some(leader)
             && *leader != self.settings.me
             && self.replica.term() == term
     }
 
-    /// On a follower: throws away what it carries for a leader that is over, or that it
-    /// does not hear any more; sends on what came of the rest.
+    /// On a follower: aborts the orders of a leader whose term is over or that is no longer
+    /// heard, and otherwise sends outcomes that are due.
     ///
-    /// A successor may lead by then. Orders that a cut holds up would reach workers after
-    /// those of the successor: workers refuse them by their fencing token only if they
-    /// have seen a newer one.
-    pub(super) fn follow_carrying(&mut self, now_ms: u64) {
-        let over = self
+    /// A successor may lead by then. Orders that a network partition delays would reach
+    /// workers after those of the successor, and workers reject them by their fencing token
+    /// only if they have seen a newer one.
+    pub(super) fn sync_carrier(&mut self, now_ms: u64) {
+        let is_over = self
             .carrier
             .leader()
-            .is_some_and(|(leader, term)| !self.follows(leader, term));
-        if over {
+            .is_some_and(|(leader, term)| !self.is_follower_of(leader, term));
+        if is_over {
             if self.carrier.end().is_some_and(|open| open > 0) {
                 self.out.push(Effect::AbortOrders);
             }
@@ -139,25 +146,31 @@
         }
     }
 
-    /// What came of an order that this instance sent to a worker.
-    pub(super) fn worker_answered(&mut self, now_ms: u64, id: u64, outcome: OrderOutcome) {
+    /// Handles the outcome of an order that this instance sent to a worker, as the leader
+    /// or as a carrier.
+    pub(super) fn handle_order_outcome(&mut self, now_ms: u64, id: u64, outcome: OrderOutcome) {
         if !Carrier::is_carried(id) {
-            return self.ordered(now_ms, id, outcome);
+            return self.finish_order(now_ms, id, outcome);
         }
         if !self.carrier.carried(now_ms, id, outcome) {
-            tracing::debug!(id, "carrier: an outcome for a leader that is over");
+            tracing::debug!(
+                id,
+                "carrier: an outcome is dropped, its leader has been replaced"
+            );
         }
     }
 
-    /// A planned stop begins: the leader is told at once, so that it gives no more orders.
+    /// At the beginning of a planned stop: tells the leader at once, so that it sends no
+    /// more orders.
     pub(super) fn close_carrier(&mut self) {
         for (to, message) in self.carrier.close() {
             self.send(to, message);
         }
     }
 
-    /// The planned stop is due: gives up what is still open; `false` if nothing is.
-    pub(super) fn give_up_carrying(&mut self, now_ms: u64) -> bool {
+    /// At the end of a planned stop: gives up the orders without an outcome. Returns
+    /// `false` if there are none.
+    pub(super) fn abandon_carried_orders(&mut self, now_ms: u64) -> bool {
         let messages = self.carrier.give_up(now_ms);
         if messages.is_empty() {
             return false;
@@ -169,8 +182,8 @@
         true
     }
 
-    /// Whether outcomes wait for others to leave with them.
-    pub fn gathers(&self) -> bool {
+    /// Returns whether outcomes for the leader are queued, to be sent together.
+    pub fn has_queued_outcomes(&self) -> bool {
         self.carrier.has_outcomes()
     }
 }
--- a/src/control/node/lead.rs
+++ b/src/control/node/leader_state.rs
@@ -1,5 +1,5 @@
-//! What a leader has beside the replicated state, from the beginning of its lead to
-//! its end.
+//! State that exists only while this instance leads, and the beginning and end of the
+//! leadership. It is rebuilt from the replicated state by each new leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,128 +8,138 @@
     Answer, Capacity, Carriers, Change, Decision, Effect, Fleet, Forecast, MachineList,
     MachineOrder, Placement, Reports, Scheduler, Throttle, Upkeep,
 };
-use super::orders::Sent;
-use super::{Caller, Node};
+use super::orders::SentOrder;
+use super::{CallOrigin, Node};
 use crate::jobs::{Job, JobId, TaskId};
 use crate::model::InstanceName;
 
-/// How often ended jobs are forgotten.
-const FORGET_MS: u64 = 10_000;
-/// A worker that neither reported nor listed for so long is struck off once its
-/// leases have run out; its next report takes it in again.
-const STRIKE_OFF_MS: u64 = 15_000;
+/// Interval at which ended jobs are removed from the state.
+const FORGET_INTERVAL_MS: u64 = 10_000;
+/// A worker that has sent neither a report nor a listing for this long is removed once its
+/// leases have expired. Its next report registers it again.
+const SILENT_WORKER_TIMEOUT_MS: u64 = 15_000;
 
-/// What waits for a change to be applied.
+/// What to do once a change is applied.
 #[derive(Debug)]
 pub(super) enum Waiter {
-    /// A call, to be answered that it is done.
-    Call(Caller),
-    /// The submission of a job.
+    /// Answer the call with [`Answer::Done`].
+    Call(CallOrigin),
+    /// Answer the call that submitted a job.
     Accept {
         /// The call.
-        caller: Caller,
+        caller: CallOrigin,
         /// The job.
         job: JobId,
     },
-    /// A start, to be ordered.
+    /// Order the start of the placed task.
     Place(Placement),
-    /// The upkeep of a machine, to be ordered.
+    /// Order the upkeep of a machine.
     Upkeep {
         /// The wave's number.
         wave: u64,
         /// The machine.
         machine: String,
-        /// The incarnation on it.
+        /// The worker incarnation on the machine.
         worker: Option<InstanceName>,
     },
-    /// An end, to be acknowledged to the worker.
+    /// Acknowledge the end of a run to its worker.
     Ended {
         /// The worker.
         worker: InstanceName,
-        /// The end's number there.
+        /// The worker's sequence number of the end.
         number: u64,
     },
 }
 
-/// A leader's beliefs and its open business.
+/// What a leader knows beyond the replicated state, and its outstanding requests.
 #[derive(Debug)]
-pub(super) struct Lead {
+pub(super) struct LeaderState {
     pub(super) term: u64,
     pub(super) fleet: Fleet,
     pub(super) pending: Pending<Waiter>,
     pub(super) scheduler: Scheduler,
     pub(super) forecast: Forecast,
     pub(super) reports: Reports,
+    /// Speed control of best-effort tasks, by worker.
     pub(super) throttles: BTreeMap<InstanceName, Throttle>,
-    pub(super) orders: BTreeMap<u64, Sent>,
-    /// The followers that carry orders out.
+    /// Orders to workers without an outcome, by id.
+    pub(super) orders: BTreeMap<u64, SentOrder>,
+    /// The followers that carry out orders.
     pub(super) carriers: Carriers,
-    pub(super) questions: BTreeMap<u64, (TaskId, Vec<InstanceName>, u64)>,
+    /// Open requests to the advisor by id: the step, the workers asked about, and until when
+    /// their tickets may be used.
+    pub(super) advice_requests: BTreeMap<u64, (TaskId, Vec<InstanceName>, u64)>,
     pub(super) upkeep: Upkeep,
+    /// Orders to the machine manager without an outcome, by id, each with the worker that
+    /// it ends.
     pub(super) machine_orders: BTreeMap<u64, (MachineOrder, Option<InstanceName>)>,
     pub(super) capacity: Capacity,
     pub(super) machines: MachineList,
-    /// Jobs that run more than once.
+    /// Jobs with a recurrence.
     pub(super) recurring: BTreeSet<JobId>,
-    /// Occurrences that are on their way into the log.
-    pub(super) due: BTreeSet<(JobId, u32)>,
-    /// Workers about whose end a change is on its way.
-    pub(super) ending: BTreeSet<InstanceName>,
+    /// Occurrences whose creation is proposed and not applied yet.
+    pub(super) proposed_occurrences: BTreeSet<(JobId, u32)>,
+    /// Workers for which a [`Change::Lapse`] or [`Change::Gone`] is proposed and not
+    /// applied yet.
+    pub(super) workers_ending: BTreeSet<InstanceName>,
     pub(super) next_id: u64,
-    /// Whether something happened that may let a task start.
+    /// Whether something happened that may allow a task to start.
     pub(super) dirty: bool,
-    pub(super) pass_ms: u64,
-    pub(super) keep_ms: u64,
-    /// When the needs of pools were looked at last.
-    pub(super) needs_ms: u64,
-    forget_ms: u64,
-    since_ms: u64,
+    pub(super) last_pass_ms: u64,
+    pub(super) last_machine_check_ms: u64,
+    /// When the demand of the pools was last computed.
+    pub(super) last_demand_ms: u64,
+    next_forget_ms: u64,
+    began_ms: u64,
 }
 
-impl Lead {
-    /// Starts that are on their way: into the log, or to a worker.
+impl LeaderState {
+    /// Returns the number of starts that are proposed to the log or sent to a worker
+    /// without an outcome.
     pub(super) fn open_starts(&self) -> usize {
         let sent = self.orders.values();
-        let sent = sent.filter(|sent| matches!(sent, Sent::Start(_))).count();
+        let sent = sent
+            .filter(|sent| matches!(sent, SentOrder::Start(_)))
+            .count();
         self.scheduler.proposed.len() + sent
     }
 
-    /// A number for an order or a question.
-    pub(super) fn draw_id(&mut self) -> u64 {
+    /// Allocates an id for an order or an advice request.
+    pub(super) fn allocate_id(&mut self) -> u64 {
         self.next_id += 1;
         self.next_id
     }
 }
 
 impl Node {
-    /// Begins and ends the lead as the log says.
-    pub(super) fn follow_lead(&mut self, now_ms: u64) {
+    /// Begins or ends the leadership according to the replicated log.
+    pub(super) fn sync_leadership(&mut self, now_ms: u64) {
         let term = self.replica.leading_term(now_ms);
-        let mine = self.lead.as_ref().map(|lead| lead.term);
-        if mine.is_some() && !self.replica.is_leader_of(mine) {
-            self.end_lead();
+        let own_term = self.leader_state.as_ref().map(|lead| lead.term);
+        if own_term.is_some() && !self.replica.is_leader_of(own_term) {
+            self.end_leadership();
         }
         if let Some(term) = term
-            && self.lead.is_none()
+            && self.leader_state.is_none()
         {
-            self.begin_lead(now_ms, term);
+            self.begin_leadership(now_ms, term);
         }
     }
 
-    fn begin_lead(&mut self, now_ms: u64, term: u64) {
+    fn begin_leadership(&mut self, now_ms: u64, term: u64) {
         let lease_ms = self.settings.timing.lease_ms();
-        let start = self.draw_start();
+        let start = self.draw_start_id();
         let mut scheduler = Scheduler::default();
         let mut jobs: Vec<_> = self.state.active().collect();
         jobs.sort_by_key(|job| job.accepted_unix_ms);
         for job in jobs {
             scheduler.touch(job.id);
-            if counts_as_size(job) {
+            if counts_toward_sizes(job) {
                 let estimates = self.state.history().estimates();
                 scheduler.arrived(job, estimates);
             }
         }
-        self.lead = Some(Box::new(Lead {
+        self.leader_state = Some(Box::new(LeaderState {
             term,
             fleet: Fleet::new(now_ms, lease_ms, &self.state, &scheduler.sizes),
             pending: Pending::new(self.settings.me.clone(), start),
@@ -139,21 +149,21 @@
             throttles: BTreeMap::new(),
             orders: BTreeMap::new(),
             carriers: Carriers::default(),
-            questions: BTreeMap::new(),
+            advice_requests: BTreeMap::new(),
             upkeep: Upkeep::new(now_ms, &self.state),
             machine_orders: BTreeMap::new(),
             capacity: Capacity::default(),
             machines: MachineList::new(now_ms),
             recurring: BTreeSet::new(),
-            due: BTreeSet::new(),
-            ending: BTreeSet::new(),
+            proposed_occurrences: BTreeSet::new(),
+            workers_ending: BTreeSet::new(),
             next_id: start >> 16,
             dirty: true,
-            pass_ms: now_ms,
-            keep_ms: now_ms,
-            needs_ms: now_ms,
-            forget_ms: now_ms + FORGET_MS,
-            since_ms: now_ms,
+            last_pass_ms: now_ms,
+            last_machine_check_ms: now_ms,
+            last_demand_ms: now_ms,
+            next_forget_ms: now_ms + FORGET_INTERVAL_MS,
+            began_ms: now_ms,
         }));
         tracing::info!(
             term,
@@ -164,12 +174,12 @@
         );
         self.out.push(Effect::Count(Decision::LeadBegan));
         for (id, call) in self.relay.take_all() {
-            self.answer_call(now_ms, Caller::Here(id), call);
+            self.answer_call(now_ms, CallOrigin::Local(id), call);
         }
     }
 
-    pub(super) fn end_lead(&mut self) {
-        let Some(lead) = self.lead.take() else {
+    pub(super) fn end_leadership(&mut self) {
+        let Some(lead) = self.leader_state.take() else {
             return;
         };
         tracing::info!(
@@ -178,9 +188,9 @@
             machine_orders = lead.machine_orders.len(),
             "lead: ends"
         );
-        // A successor may order the same machines from now on. An order that a cut holds
-        // up until it heals would reach a machine after the successor's; where nobody
-        // checks tokens, two leaders then take turns on it.
+        // A successor may order the same machines from now on. An order that a network
+        // partition delays would reach a machine after the successor's orders. Where nobody
+        // checks fencing tokens, two leaders would then control it alternately.
         self.out.push(Effect::AbortOrders);
         for waiter in lead.pending.into_waiters() {
             let caller = match waiter {
@@ -188,48 +198,49 @@
                 Waiter::Place(_) | Waiter::Upkeep { .. } | Waiter::Ended { .. } => continue,
             };
             let answer = match caller {
-                Caller::Here(_) => Answer::Unknown,
-                Caller::Peer(..) => Answer::LeadLost,
+                CallOrigin::Local(_) => Answer::Unknown,
+                CallOrigin::Peer(..) => Answer::LeadLost,
             };
             self.answer(&caller, answer);
         }
     }
 
     pub(super) fn propose(&mut self, change: Change, waiter: Option<Waiter>) {
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.pending.add(change, waiter);
         }
     }
 
     pub(super) fn tick_lead(&mut self, now_ms: u64) {
-        self.watch_carriers(now_ms);
+        self.update_carriers(now_ms);
         if !self.leads(now_ms) {
             return;
         }
         self.renew_leases(now_ms);
-        self.end_workers(now_ms);
-        self.bring_due(now_ms);
-        self.keep_machines(now_ms);
-        self.forget(now_ms);
-        self.pass(now_ms);
+        self.expire_workers(now_ms);
+        self.create_due_occurrences(now_ms);
+        self.manage_machines(now_ms);
+        self.forget_ended_jobs(now_ms);
+        self.run_pass(now_ms);
     }
 
-    /// Workers whose runs have provably ended, and those that are gone.
-    fn end_workers(&mut self, now_ms: u64) {
-        let Some(lead) = &mut self.lead else {
+    /// Proposes the removal of workers that are gone, and the end of all runs on workers
+    /// whose leases have expired.
+    fn expire_workers(&mut self, now_ms: u64) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let mut changes = Vec::new();
         for (name, link) in lead.fleet.links() {
-            if !link.has_lapsed(now_ms) || lead.ending.contains(name) {
+            if !link.has_lapsed(now_ms) || lead.workers_ending.contains(name) {
                 continue;
             }
             let worker = self.state.worker(name);
             let heard_ms = lead.reports.heard_ms(name).max(link.heard_ms());
-            let quiet_ms = now_ms - heard_ms.unwrap_or(lead.since_ms);
-            let over = worker.is_none_or(|w| w.leaving) || quiet_ms > STRIKE_OFF_MS;
+            let silent_ms = now_ms - heard_ms.unwrap_or(lead.began_ms);
+            let is_gone = worker.is_none_or(|w| w.leaving) || silent_ms > SILENT_WORKER_TIMEOUT_MS;
             let worker = name.clone();
-            if over {
+            if is_gone {
                 changes.push(Change::Gone { worker });
             } else if !link.runs.is_empty() {
                 changes.push(Change::Lapse { worker });
@@ -238,20 +249,21 @@
         for change in changes {
             if let Change::Gone { worker } | Change::Lapse { worker } = &change {
                 let runs = lead.fleet.runs_on(&self.state, worker).count();
-                tracing::info!(%worker, runs, ?change, "worker: its leases have run out");
-                lead.ending.insert(worker.clone());
+                tracing::info!(%worker, runs, ?change, "worker: its leases have expired");
+                lead.workers_ending.insert(worker.clone());
                 self.out.push(Effect::Count(Decision::WorkerLapsed));
             }
             lead.pending.add(change, None);
         }
     }
 
-    /// A worker's incarnation is over: its successor answered in its place.
-    pub(super) fn worker_over(&mut self, worker: &InstanceName) {
-        let Some(lead) = &mut self.lead else {
+    /// Proposes the removal of a worker incarnation because another incarnation answered at
+    /// its address.
+    pub(super) fn replace_worker(&mut self, worker: &InstanceName) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
-        if lead.ending.insert(worker.clone()) {
+        if lead.workers_ending.insert(worker.clone()) {
             tracing::info!(%worker, "worker: another incarnation answers at its address");
             let change = Change::Gone {
                 worker: worker.clone(),
@@ -260,17 +272,17 @@
         }
     }
 
-    fn forget(&mut self, now_ms: u64) {
+    fn forget_ended_jobs(&mut self, now_ms: u64) {
         let unix_ms = self.clock.unix_ms(now_ms);
         let remember_ms = self.settings.timing.remember_ms;
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
-        if now_ms < lead.forget_ms {
+        if now_ms < lead.next_forget_ms {
             return;
         }
-        lead.forget_ms = now_ms + FORGET_MS;
-        // A clock that jumped must not cost a caller the state of its job.
+        lead.next_forget_ms = now_ms + FORGET_INTERVAL_MS;
+        // The doubled time keeps a caller's job status available even if the clock jumped.
         let before_unix_ms = unix_ms.saturating_sub(2 * remember_ms);
         lead.pending.add(Change::Forget { before_unix_ms }, None);
         let state = &self.state;
@@ -283,7 +295,7 @@
     }
 }
 
-/// Whether a job tells how large jobs of its queue are.
-pub(super) fn counts_as_size(job: &Job) -> bool {
+/// Returns whether a job counts toward the job sizes that are learnt for its queue.
+pub(super) fn counts_toward_sizes(job: &Job) -> bool {
     job.spec.recurrence.is_none() && !job.spec.lasts()
 }
--- a/src/control/node/leaderless.rs
+++ b/src/control/node/leaderless.rs
@@ -1,63 +1,65 @@
-//! What an instance says while nobody leads: how long, and whom it waits for.
+//! Logs while there is no leader: for how long, and which voters are missing.
 //!
-//! Without this a cluster that cannot be founded looks like one that is idle: every process
-//! is up and logs nothing while no call is answered.
+//! Otherwise a cluster that cannot form looks like an idle one: every process is up and
+//! logs nothing, while no call is answered.
 
 use super::Node;
-use super::members::THERE_MS;
+use super::members::PEER_TIMEOUT_MS;
 use crate::model::EntryName;
 
-/// A time without a leader that is worth a line: an election is over by then.
-const WORTH_TELLING_MS: u64 = 2_000;
-/// How often it is told again while nothing changes.
-const AGAIN_MS: u64 = 5_000;
+/// Time without a leader after which it is logged. An election takes less.
+const LOG_AFTER_MS: u64 = 2_000;
+/// Interval at which the message is repeated while nothing changes.
+const LOG_INTERVAL_MS: u64 = 5_000;
 
-/// How long nobody has led, and what was said of it.
+/// How long there has been no leader, and what was last logged about it.
 #[derive(Debug, Default)]
 pub(super) struct Leaderless {
     since_ms: Option<u64>,
-    told: Option<Told>,
+    last_logged: Option<LastLogged>,
 }
 
 #[derive(Debug)]
-struct Told {
+struct LastLogged {
     at_ms: u64,
     missing: Vec<EntryName>,
 }
 
-fn texts(names: &[EntryName]) -> Vec<&str> {
+fn as_strs(names: &[EntryName]) -> Vec<&str> {
     names.iter().map(EntryName::as_str).collect()
 }
 
 impl Node {
-    /// How long no leader has been known here.
+    /// Returns for how long no leader has been known to this instance, in milliseconds.
     pub fn leaderless_ms(&self, now_ms: u64) -> u64 {
         let since_ms = self.leaderless.since_ms;
         since_ms.map_or(0, |since_ms| now_ms.saturating_sub(since_ms))
     }
 
-    /// Logs what keeps a leader from standing, when that changes and now and then.
-    pub(super) fn tell_leaderless(&mut self, now_ms: u64) {
+    /// Logs what prevents an election, when it changes and at regular intervals.
+    pub(super) fn log_leaderless(&mut self, now_ms: u64) {
         if self.leader().is_some() {
             let lasted_ms = self.leaderless_ms(now_ms);
-            let told = std::mem::take(&mut self.leaderless).told;
-            if told.is_some() {
+            let last_logged = std::mem::take(&mut self.leaderless).last_logged;
+            if last_logged.is_some() {
                 let leader = self.leader();
                 let leader = leader.as_ref().map(EntryName::as_str);
-                tracing::info!(leader, lasted_ms, "control: somebody leads again");
+                tracing::info!(leader, lasted_ms, "control: there is a leader again");
             }
             return;
         }
         let since_ms = *self.leaderless.since_ms.get_or_insert(now_ms);
-        if now_ms < since_ms + WORTH_TELLING_MS {
+        if now_ms < since_ms + LOG_AFTER_MS {
             return;
         }
-        let missing = self.missing(now_ms);
+        let missing = self.missing_voters(now_ms);
         let known = self
             .leaderless
-            .told
+            .last_logged
             .as_ref()
-            .is_some_and(|told| told.missing == missing && now_ms < told.at_ms + AGAIN_MS);
+            .is_some_and(|last_logged| {
+                last_logged.missing == missing && now_ms < last_logged.at_ms + LOG_INTERVAL_MS
+            });
         if known {
             return;
         }
@@ -65,17 +67,17 @@
         tracing::warn!(
             lasted_ms = now_ms - since_ms,
             founded = !status.voters.is_empty(),
-            voters = ?texts(&self.voters()),
-            missing = ?texts(&missing),
+            voters = ?as_strs(&self.expected_voters()),
+            missing = ?as_strs(&missing),
             term = status.term,
             "control: nobody leads"
         );
         let at_ms = now_ms;
-        self.leaderless.told = Some(Told { at_ms, missing });
+        self.leaderless.last_logged = Some(LastLogged { at_ms, missing });
     }
 
-    /// The voters, or those that are to found the cluster.
-    fn voters(&self) -> Vec<EntryName> {
+    /// Returns the voters, or the seeds if the cluster has not been formed yet.
+    fn expected_voters(&self) -> Vec<EntryName> {
         let voters = self.replica.voters();
         match voters.is_empty() {
             true => self.settings.seeds.clone(),
@@ -83,14 +85,14 @@
         }
     }
 
-    /// The voters that were not heard lately.
-    fn missing(&self, now_ms: u64) -> Vec<EntryName> {
-        let there = |name: &EntryName| {
-            let heard = self.met.get(name);
-            *name == self.settings.me || heard.is_some_and(|at| now_ms < at + THERE_MS)
+    /// Returns the voters that have not been heard recently.
+    fn missing_voters(&self, now_ms: u64) -> Vec<EntryName> {
+        let is_present = |name: &EntryName| {
+            let heard = self.peers_heard.get(name);
+            *name == self.settings.me || heard.is_some_and(|at| now_ms < at + PEER_TIMEOUT_MS)
         };
-        let mut missing = self.voters();
-        missing.retain(|name| !there(name));
+        let mut missing = self.expected_voters();
+        missing.retain(|name| !is_present(name));
         missing
     }
 }
--- a/src/control/node/log.rs
+++ b/src/control/node/log.rs
@@ -1,12 +1,12 @@
-//! The replicated log: what is proposed and what is applied.
+//! The replicated log: proposes commands and applies committed entries.
 
 use super::super::{Command, Effect, PeerMessage, State};
 use super::Node;
 use crate::consensus::{Action, Entry, Input};
 
 impl Node {
-    /// Gives the replica an input and carries out what it wants.
-    pub(super) fn log(&mut self, now_ms: u64, input: Input) {
+    /// Passes an input to the replica and carries out the actions that it returns.
+    pub(super) fn step_replica(&mut self, now_ms: u64, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for action in self.replica.handle(now_ms, input) {
@@ -33,12 +33,12 @@
     fn restore(&mut self, index: u64, data: &[u8]) {
         match State::decode(data) {
             Ok(state) => {
-                // What a leader believed belongs to the state before.
-                self.end_lead();
+                // The leader state was derived from the previous replicated state.
+                self.end_leadership();
                 self.state = state;
                 self.applied_index = index;
             }
-            Err(err) => tracing::error!(%err, "log: a snapshot cannot be read"),
+            Err(err) => tracing::error!(%err, "log: a snapshot cannot be decoded"),
         }
     }
 
@@ -50,26 +50,26 @@
         match crate::codec::decode::<Command>(&entry.command) {
             Ok(command) => {
                 self.state.apply(&command);
-                self.applied(now_ms, &command);
+                self.on_command_applied(now_ms, &command);
             }
             Err(err) => {
-                tracing::error!(index = entry.index, %err, "log: an entry cannot be read");
+                tracing::error!(index = entry.index, %err, "log: an entry cannot be decoded");
             }
         }
     }
 
-    /// Proposes what has gathered.
-    pub(super) fn flush(&mut self, now_ms: u64) {
+    /// Proposes the changes that are queued.
+    pub(super) fn propose_pending(&mut self, now_ms: u64) {
         let at_unix_ms = self.clock.unix_ms(now_ms);
         loop {
-            let Some(lead) = &mut self.lead else {
+            let Some(lead) = &mut self.leader_state else {
                 return;
             };
             let Some(command) = lead.pending.next(now_ms, at_unix_ms) else {
                 return;
             };
             let command = crate::codec::encode(&command);
-            self.log(now_ms, Input::Propose { command });
+            self.step_replica(now_ms, Input::Propose { command });
         }
     }
 }
--- a/src/control/node/keeping.rs
+++ b/src/control/node/machines.rs
@@ -1,4 +1,4 @@
-//! What the leader orders of the keeper of the machines: upkeeps and moves.
+//! Machine orders of the leader: upkeep during waves, and moves of machines between pools.
 
 use std::collections::BTreeSet;
 
@@ -7,46 +7,49 @@
     MachineOutcome, Upkeep, UpkeepStep, UpkeepWorld, demand,
 };
 use super::Node;
-use super::lead::Waiter;
-use super::pass::want_stop;
+use super::leader_state::Waiter;
+use super::pass::request_stop;
 use crate::model::InstanceName;
 
-/// How often waves and pools are looked at: a fraction of the time that a machine
-/// takes for either.
-const KEEP_MS: u64 = 100;
-/// Jobs that may be looked at in a millisecond between two looks at what pools need, which
-/// come to each of them: with more jobs the looks are further apart. Else they take the
-/// leader's time in proportion to what waits, and what waits grows by that.
-const NEEDS_JOBS_PER_MS: u64 = 20;
+/// Interval at which waves and pools are checked. It is a fraction of the time that a
+/// machine takes for an upkeep or a move.
+const MACHINE_CHECK_INTERVAL_MS: u64 = 100;
+/// Active jobs for which the interval between two computations of the pools' demand grows
+/// by 1 ms. Each computation visits every active job. At a fixed interval its share of the
+/// leader's time would grow with the backlog, and slow the leader so that the backlog grows
+/// further.
+const DEMAND_JOBS_PER_MS: u64 = 20;
 
 impl Node {
-    pub(super) fn keep_machines(&mut self, now_ms: u64) {
-        let Some(lead) = &mut self.lead else {
+    pub(super) fn manage_machines(&mut self, now_ms: u64) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
-        if now_ms < lead.keep_ms + KEEP_MS || self.state.configuration().is_none() {
+        if now_ms < lead.last_machine_check_ms + MACHINE_CHECK_INTERVAL_MS
+            || self.state.configuration().is_none()
+        {
             return;
         }
-        lead.keep_ms = now_ms;
-        let apart_ms = self.state.active_count() as u64 / NEEDS_JOBS_PER_MS;
-        let needs_due = now_ms >= lead.needs_ms + apart_ms;
-        if needs_due {
-            lead.needs_ms = now_ms;
+        lead.last_machine_check_ms = now_ms;
+        let demand_interval_ms = self.state.active_count() as u64 / DEMAND_JOBS_PER_MS;
+        let demand_due = now_ms >= lead.last_demand_ms + demand_interval_ms;
+        if demand_due {
+            lead.last_demand_ms = now_ms;
         }
         if lead.machines.ask(now_ms) {
             self.out.push(Effect::ListMachines);
         }
-        self.keep_waves(now_ms);
-        self.tell_gone(now_ms);
-        if needs_due {
-            self.keep_pools(now_ms);
+        self.advance_waves(now_ms);
+        self.skip_removed_machines(now_ms);
+        if demand_due {
+            self.rebalance_pools(now_ms);
         }
-        self.order_stops(now_ms);
+        self.send_stops(now_ms);
     }
 
-    fn keep_waves(&mut self, now_ms: u64) {
+    fn advance_waves(&mut self, now_ms: u64) {
         let now_unix_ms = self.clock.unix_ms(now_ms);
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let off = lead.capacity.standby().cloned().collect();
@@ -68,7 +71,7 @@
                     attempt,
                 } => {
                     tracing::info!(%task, attempt, %worker, "upkeep: a task is moved away");
-                    want_stop(now_ms, lead.fleet.run_mut(&worker, task, attempt));
+                    request_stop(now_ms, lead.fleet.run_mut(&worker, task, attempt));
                 }
                 UpkeepStep::Begin {
                     wave,
@@ -91,9 +94,10 @@
         }
     }
 
-    /// Waves do not wait for machines that are gone for good.
-    fn tell_gone(&mut self, now_ms: u64) {
-        let Some(lead) = &mut self.lead else {
+    /// Marks machines of a wave that are permanently gone as done, so that the wave does
+    /// not wait for them.
+    fn skip_removed_machines(&mut self, now_ms: u64) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         if self.state.waves().values().all(|wave| wave.is_completed()) {
@@ -120,9 +124,9 @@
         }
     }
 
-    fn keep_pools(&mut self, now_ms: u64) {
+    fn rebalance_pools(&mut self, now_ms: u64) {
         let now_unix_ms = self.clock.unix_ms(now_ms);
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let Some(configuration) = self.state.configuration() else {
@@ -132,7 +136,7 @@
         let history = self.state.history();
         let estimates = match policy.order.learn {
             true => history.estimates(),
-            false => &self.unlearnt,
+            false => &self.default_estimates,
         };
         self.looked += self.state.active_count() as u64;
         let demand = demand(
@@ -147,7 +151,7 @@
         forecast.tick(now_unix_ms, history, estimates, configuration);
         let offers = forecast.offers(now_unix_ms, history, estimates, configuration, policy);
         let mut busy: BTreeSet<InstanceName> = lead.upkeep.closed().cloned().collect();
-        busy.extend(lead.ending.iter().cloned());
+        busy.extend(lead.workers_ending.iter().cloned());
         busy.extend(lead.scheduler.proposed.values().map(|p| p.worker.clone()));
         let world = CapacityWorld {
             state: &self.state,
@@ -174,22 +178,23 @@
             );
             let worker = Upkeep::worker_on(&self.state, &moved.machine).cloned();
             let kind = MachineOrderKind::Move { pool: moved.pool };
-            self.order_machine(moved.machine, worker, kind);
+            self.send_machine_order(moved.machine, worker, kind);
         }
     }
 
-    /// Orders something of the keeper that ends the `worker` on the machine.
-    pub(super) fn order_machine(
+    /// Sends an order to the machine manager that ends `worker`, the incarnation on the
+    /// machine.
+    pub(super) fn send_machine_order(
         &mut self,
         machine: String,
         worker: Option<InstanceName>,
         kind: MachineOrderKind,
     ) {
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let order = MachineOrder {
-            id: lead.draw_id(),
+            id: lead.allocate_id(),
             fence: lead.term,
             machine,
             kind,
@@ -204,8 +209,8 @@
         self.out.push(Effect::OrderMachine(order));
     }
 
-    pub(super) fn machines_listed(&mut self, now_ms: u64, machines: Option<Vec<Machine>>) {
-        let Some(lead) = &mut self.lead else {
+    pub(super) fn handle_machine_list(&mut self, now_ms: u64, machines: Option<Vec<Machine>>) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         lead.machines.read(now_ms, machines.as_deref());
@@ -220,8 +225,8 @@
         );
     }
 
-    pub(super) fn machine_ordered(&mut self, now_ms: u64, id: u64, outcome: MachineOutcome) {
-        let Some(lead) = &mut self.lead else {
+    pub(super) fn finish_machine_order(&mut self, now_ms: u64, id: u64, outcome: MachineOutcome) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let Some((order, worker)) = lead.machine_orders.remove(&id) else {
@@ -230,16 +235,16 @@
         tracing::info!(machine = order.machine, order = ?order.kind, %outcome, "machine: ordered");
         match &order.kind {
             MachineOrderKind::Upkeep { wave } => {
-                self.upkeep_ordered(now_ms, *wave, order.machine, worker, outcome);
+                self.finish_upkeep_order(now_ms, *wave, order.machine, worker, outcome);
             }
             MachineOrderKind::Move { pool } => match outcome {
                 MachineOutcome::Done => {
                     lead.capacity
                         .moved(now_ms, &self.state, &order.machine, pool);
-                    self.worker_ended(worker);
+                    self.propose_worker_gone(worker);
                 }
                 MachineOutcome::Unanswered => {
-                    self.order_machine(order.machine, worker, order.kind);
+                    self.send_machine_order(order.machine, worker, order.kind);
                 }
                 MachineOutcome::Fenced
                 | MachineOutcome::Busy
@@ -249,7 +254,7 @@
         }
     }
 
-    fn upkeep_ordered(
+    fn finish_upkeep_order(
         &mut self,
         now_ms: u64,
         wave: u64,
@@ -257,7 +262,7 @@
         worker: Option<InstanceName>,
         outcome: MachineOutcome,
     ) {
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         match outcome {
@@ -267,7 +272,7 @@
                     machine: machine.clone(),
                 };
                 lead.pending.add(change, None);
-                self.worker_ended(worker);
+                self.propose_worker_gone(worker);
             }
             MachineOutcome::Fenced | MachineOutcome::Busy | MachineOutcome::Overloaded => {
                 lead.upkeep.not_begun(now_ms, &machine, true);
@@ -276,15 +281,16 @@
         }
     }
 
-    /// All that ran on a machine has ended with the incarnation that was there when it
-    /// was ordered; the one that is there now may be the next.
-    fn worker_ended(&mut self, worker: Option<InstanceName>) {
-        let Some(lead) = &mut self.lead else {
+    /// Proposes the removal of the worker incarnation that was on a machine when the
+    /// machine was ordered. All its runs have ended. The incarnation that is there now may
+    /// be its successor, which is left alone.
+    fn propose_worker_gone(&mut self, worker: Option<InstanceName>) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         if let Some(worker) = worker
             && self.state.worker(&worker).is_some()
-            && lead.ending.insert(worker.clone())
+            && lead.workers_ending.insert(worker.clone())
         {
             lead.pending.add(Change::Gone { worker }, None);
         }
@@ -296,6 +302,6 @@
         machine: String,
         worker: Option<InstanceName>,
     ) {
-        self.order_machine(machine, worker, MachineOrderKind::Upkeep { wave });
+        self.send_machine_order(machine, worker, MachineOrderKind::Upkeep { wave });
     }
 }
--- a/src/control/node/members.rs
+++ b/src/control/node/members.rs
@@ -1,53 +1,56 @@
-//! How control instances find each other, and which of them vote.
+//! Discovery of control instances, and the choice of which of them vote.
 //!
-//! The settings name three addresses at most, the same on all at the first start.
-//! Everyone says hello to those it knows, and learns of others from the answers. The
-//! leader makes voters of instances with a data folder until there are as many as
-//! the losses to be borne need, and replaces a voter that stays away once another
-//! is there to take its place: first the new one is added, then the old removed, so
-//! that no quorum is ever smaller than the losses allow.
+//! The settings name at most three addresses, which are the same on all instances at the
+//! first start. Each instance sends a hello to those that it knows, and learns of others
+//! from the answers. The leader adds instances with a data folder as voters until there are
+//! enough to tolerate the configured losses. It replaces a voter that stays unreachable
+//! once another instance can take its place: it adds the new one first and then removes the
+//! old one, so that no quorum is ever smaller than required.
 
 use super::super::PeerMessage;
 use super::Node;
 use crate::consensus::{Input, VoterChange};
 use crate::model::EntryName;
 
-/// How often instances greet those that they know.
-const HELLO_MS: u64 = 800;
-/// An instance that said hello within this time is there.
-pub(super) const THERE_MS: u64 = 2_500;
-/// A voter that did not answer for this long is away: longer than a restart or a short
-/// cut takes, so that these cost no change of voters.
+/// Interval at which an instance sends a hello to each known control instance.
+const HELLO_INTERVAL_MS: u64 = 800;
+/// An instance counts as present for this long after its last hello.
+pub(super) const PEER_TIMEOUT_MS: u64 = 2_500;
+/// A voter without an answer for this long is unreachable. It is longer than a restart or a
+/// short network partition, so that these do not change the voters.
 ///
-/// When a voter is gone for good and its successor has caught up, the next disk may be
-/// lost. Were the lost one still a voter by then and the successor not, too few whole
-/// folders would be left, and nobody would lead ever again. This, two looks and two
-/// commits are over before the 4 s that a successor has to catch up.
-const AWAY_MS: u64 = 2_000;
-/// How often a leader looks at who is away. A new one first lets the voters answer for as
-/// long, or the slower half of them would count as away.
-const VOTERS_MS: u64 = 300;
+/// When a voter is permanently lost and its successor has caught up, the next disk may be
+/// lost. If the lost voter were still a voter then and its successor were not, too few
+/// complete data folders would be left and no leader could ever be elected again. This
+/// timeout, two checks and two commits are over before the 4 s that a successor has to
+/// catch up.
+const VOTER_TIMEOUT_MS: u64 = 2_000;
+/// Interval at which a leader checks for unreachable voters. A new leader waits this long
+/// before its first check; otherwise the slower half of the voters, which have not answered
+/// yet, would count as unreachable.
+const VOTER_CHECK_INTERVAL_MS: u64 = 300;
 
 impl Node {
-    /// Knows of an instance from now on.
-    pub(super) fn meet(&mut self, now_ms: u64, name: &EntryName) {
+    /// Adds a control instance to the known peers, unless it is known.
+    pub(super) fn add_peer(&mut self, now_ms: u64, name: &EntryName) {
         if *name == self.settings.me || self.relay.members().contains(name) {
             return;
         }
-        tracing::info!(%name, "control: another control instance is known");
+        tracing::info!(%name, "control: a control instance was discovered");
         let mut members = self.relay.members().to_vec();
         members.push(name.clone());
         self.relay.set_members(members);
-        self.log(now_ms, Input::Meet { name: name.clone() });
+        self.step_replica(now_ms, Input::Meet { name: name.clone() });
     }
 
-    /// Says hello to everyone known.
-    pub(super) fn greet(&mut self, now_ms: u64) {
-        if now_ms < self.hello_ms {
+    /// Sends a hello to all known control instances when it is due.
+    pub(super) fn send_hellos(&mut self, now_ms: u64) {
+        if now_ms < self.next_hello_ms {
             return;
         }
-        self.hello_ms = now_ms + HELLO_MS;
-        self.clients.retain(|_, at| now_ms < *at + THERE_MS);
+        self.next_hello_ms = now_ms + HELLO_INTERVAL_MS;
+        self.entries_heard
+            .retain(|_, at| now_ms < *at + PEER_TIMEOUT_MS);
         for to in self.relay.members().to_vec() {
             if to != self.settings.me {
                 self.send(to, PeerMessage::Hello { has_folder: true });
@@ -55,34 +58,34 @@
         }
     }
 
-    pub(super) fn hello(&mut self, now_ms: u64, from: EntryName, has_folder: bool) {
+    pub(super) fn handle_hello(&mut self, now_ms: u64, from: EntryName, has_folder: bool) {
         if has_folder {
-            self.meet(now_ms, &from);
-            self.met.insert(from.clone(), now_ms);
+            self.add_peer(now_ms, &from);
+            self.peers_heard.insert(from.clone(), now_ms);
         } else {
-            self.clients.insert(from.clone(), now_ms);
+            self.entries_heard.insert(from.clone(), now_ms);
         }
         let welcome = self.welcome();
         self.send(from, welcome);
     }
 
-    /// Tells the entry instances that greet this one at once that another one leads: calls
-    /// wait there for that.
+    /// Tells the entry instances that have recently sent a hello about a new leader at
+    /// once, because calls wait there for it.
     pub(super) fn announce_leader(&mut self, now_ms: u64) {
         let leader = self.leader();
-        if leader == self.announced {
+        if leader == self.announced_leader {
             return;
         }
-        self.announced = leader;
-        if self.announced.is_none() {
+        self.announced_leader = leader;
+        if self.announced_leader.is_none() {
             return;
         }
-        let there = self
-            .clients
+        let recent = self
+            .entries_heard
             .iter()
-            .filter(|(_, at)| now_ms < **at + THERE_MS);
-        let there: Vec<EntryName> = there.map(|(name, _)| name.clone()).collect();
-        for client in there {
+            .filter(|(_, at)| now_ms < **at + PEER_TIMEOUT_MS);
+        let recent: Vec<EntryName> = recent.map(|(name, _)| name.clone()).collect();
+        for client in recent {
             let welcome = self.welcome();
             self.send(client, welcome);
         }
@@ -100,13 +103,14 @@
         }
     }
 
-    /// Where workers should report: a leader leaves their reports to the others that
-    /// are there, anyone else takes them.
+    /// Returns the control instances to which workers should send their reports. A leader
+    /// leaves reports to the other instances that are present; any other instance takes
+    /// them itself.
     pub fn report_places(&self, now_ms: u64) -> Vec<EntryName> {
-        let there = |at: &u64| now_ms < *at + THERE_MS;
+        let is_present = |at: &u64| now_ms < *at + PEER_TIMEOUT_MS;
         let mut places: Vec<EntryName> = Vec::new();
-        if self.lead.is_some() {
-            let others = self.met.iter().filter(|(_, at)| there(at));
+        if self.leader_state.is_some() {
+            let others = self.peers_heard.iter().filter(|(_, at)| is_present(at));
             places.extend(others.map(|(name, _)| name.clone()));
         }
         if places.is_empty() {
@@ -115,40 +119,45 @@
         places
     }
 
-    /// The leader, as far as is known here.
+    /// Returns the current leader, if it is known to this instance.
     pub(super) fn leader(&self) -> Option<EntryName> {
-        if self.lead.is_some() {
+        if self.leader_state.is_some() {
             return Some(self.settings.me.clone());
         }
-        // One whose log leads but who has not begun does not answer calls yet.
+        // An instance that is elected but has not begun its leadership does not answer
+        // calls yet.
         let leader = self.replica.leader()?;
         (*leader != self.settings.me).then(|| leader.clone())
     }
 
-    /// On the leader: adds voters while there are too few, removes those that stay
-    /// away while there are more than enough.
-    pub(super) fn change_voters(&mut self, now_ms: u64) {
+    /// On the leader: adds a voter while there are too few or one is unreachable, and
+    /// removes an unreachable voter while there are more than required.
+    pub(super) fn adjust_voters(&mut self, now_ms: u64) {
         if !self.leads(now_ms) {
-            self.voters_ms = now_ms + VOTERS_MS;
+            self.next_voter_check_ms = now_ms + VOTER_CHECK_INTERVAL_MS;
             return;
         }
-        if now_ms < self.voters_ms {
+        if now_ms < self.next_voter_check_ms {
             return;
         }
-        self.voters_ms = now_ms + VOTERS_MS;
+        self.next_voter_check_ms = now_ms + VOTER_CHECK_INTERVAL_MS;
         let status = self.replica.status(now_ms);
-        let wanted = self.settings.voters_wanted();
-        let away: Vec<&EntryName> = status
+        let wanted = self.settings.target_voter_count();
+        let unreachable: Vec<&EntryName> = status
             .voter_states
             .iter()
-            .filter(|(_, voter)| voter.heard_age_ms.is_none_or(|age| age > AWAY_MS))
+            .filter(|(_, voter)| voter.heard_age_ms.is_none_or(|age| age > VOTER_TIMEOUT_MS))
             .map(|(name, _)| name)
             .collect();
         let change = if status.voters.len() > wanted {
-            away.first()
+            unreachable
+                .first()
                 .map(|name| VoterChange::Remove((*name).clone()))
-        } else if status.voters.len() < wanted || !away.is_empty() {
-            let candidates = self.met.iter().filter(|(_, at)| now_ms < *at + THERE_MS);
+        } else if status.voters.len() < wanted || !unreachable.is_empty() {
+            let candidates = self
+                .peers_heard
+                .iter()
+                .filter(|(_, at)| now_ms < *at + PEER_TIMEOUT_MS);
             let mut candidates = candidates.map(|(name, _)| name);
             let next = candidates.find(|name| !status.voters.contains(name));
             next.map(|name| VoterChange::Add(name.clone()))
@@ -159,9 +168,9 @@
             tracing::info!(
                 ?change,
                 voters = status.voters.len(),
-                "control: voters change"
+                "control: the set of voters changes"
             );
-            self.log(now_ms, Input::ChangeVoters { change });
+            self.step_replica(now_ms, Input::ChangeVoters { change });
         }
     }
 }
--- a/src/control/node/orders.rs
+++ b/src/control/node/orders.rs
@@ -1,59 +1,61 @@
-//! Orders to workers and what comes of them.
+//! Sends orders to workers and handles their outcomes.
 //!
-//! A start leaves only after its placement is durable, so that any later leader
-//! knows what may run. A start that is not answered may still be carried out, late
-//! and after newer orders. It is sent again as it is, which a worker takes as the
-//! same start; if that stays unanswered too, the run is stopped, after which the
-//! worker refuses it for good. Only then may the task start elsewhere. A start that has
-//! certainly not left, nor an earlier sending of it, needs none of that.
+//! A start is sent only after its placement is durable, so that any later leader knows what
+//! may run. A start without an answer may still be carried out, late and after newer
+//! orders. It is sent again unchanged, which a worker treats as the same start. If that is
+//! not answered either, the run is stopped, after which the worker rejects the start
+//! permanently. Only then may the task start elsewhere. None of this is needed for a start
+//! that was certainly not sent, if no earlier copy of it was sent either.
 
 use super::super::{
     Change, Decision, Effect, Order, OrderKind, OrderOutcome, Placement, Rejection, RunPhase,
     RunView,
 };
 use super::Node;
-use super::lead::Lead;
-use super::pass::want_stop;
+use super::leader_state::LeaderState;
+use super::pass::request_stop;
 use crate::jobs::TaskId;
 use crate::model::InstanceName;
 
-/// How long a short order's answer is waited for: many round trips of 1 to 3 ms.
+/// How long the answer to a short order is awaited. A round trip takes 1 to 3 ms.
 pub(super) const ORDER_TIMEOUT_MS: u64 = 400;
-/// Starts that are sent again as they are before the run is given up.
-const START_AGAIN_MAX: u32 = 2;
-/// Stops on their way at once, as many as starts. A caller may cancel thousands of tasks at
-/// a time: without a bound the leader needs longer to write their stops than an answer is
-/// waited for, and gives them all again.
-const STOPS_OPEN_MAX: usize = 192;
-/// Pause before a stop that was not answered is ordered again.
-const STOP_AGAIN_MS: u64 = 250;
-/// Rest of a worker that had less room than it said; its next end frees some.
-const ROOM_REST_MS: u64 = 150;
-/// Rest of a worker that says that it is not healthy.
-const UNHEALTHY_REST_MS: u64 = 1_000;
-/// Rest of a worker to which a start did not leave: others wait for their turn there.
-const CROWDED_REST_MS: u64 = 150;
-/// Questions to the advisor at once. It answers one at a time for each caller and
-/// refuses the 32nd that waits.
-const QUESTIONS_MAX: usize = 6;
-/// Workers in one question, as the advisor allows.
-const QUESTION_WORKERS_MAX: usize = 100;
-/// A ticket is not used in the last part of its time, in percent, as the start needs
-/// time to arrive.
-const TICKET_USED_PERCENT: u64 = 80;
-/// How long a refusal by the advisor is remembered: it does not change.
-const REFUSAL_MS: u64 = 3_600_000;
+/// How often a start is sent again before the run is given up.
+const MAX_START_RETRIES: u32 = 2;
+/// Maximum number of stops in flight, the same as for starts. A caller may cancel thousands
+/// of tasks at a time. Without a bound, writing their stops would take the leader longer
+/// than the timeout for an answer, and it would send all of them again.
+const MAX_STOPS_IN_FLIGHT: usize = 192;
+/// Delay before an unanswered stop is sent again.
+const STOP_RETRY_DELAY_MS: u64 = 250;
+/// Cooldown of a worker that had less room than it reported. The next end of a run there
+/// frees some.
+const NO_ROOM_COOLDOWN_MS: u64 = 150;
+/// Cooldown of a worker that reports that it is unhealthy.
+const UNHEALTHY_COOLDOWN_MS: u64 = 1_000;
+/// Cooldown of a worker to which a start could not be sent because other requests are
+/// queued for it.
+const NOT_SENT_COOLDOWN_MS: u64 = 150;
+/// Maximum number of concurrent requests to the advisor. It answers one at a time for each
+/// client and refuses the 32nd that is queued.
+const MAX_ADVICE_REQUESTS: usize = 6;
+/// Maximum number of workers in one advice request, as the advisor allows.
+const MAX_WORKERS_PER_ADVICE_REQUEST: usize = 100;
+/// Part of a ticket's validity, in percent, during which it is used. The rest is left for
+/// the start to arrive.
+const TICKET_USABLE_PERCENT: u64 = 80;
+/// How long a refusal by the advisor is cached. Refusals do not change.
+const REFUSAL_CACHE_MS: u64 = 3_600_000;
 
-/// An order whose outcome is awaited.
+/// An order that awaits its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Sent {
+pub(super) enum SentOrder {
     Start(Placement),
     Stop(Placement),
     Renew { worker: InstanceName, sent_ms: u64 },
     Throttle(Placement),
 }
 
-impl Sent {
+impl SentOrder {
     pub(super) fn worker(&self) -> &InstanceName {
         match self {
             Self::Start(p) | Self::Stop(p) | Self::Throttle(p) => &p.worker,
@@ -62,10 +64,10 @@
     }
 }
 
-impl Lead {
-    /// The stops to order now: those that are due for longest, so that runs on workers that
-    /// do not answer hold up nobody else's.
-    fn take_stops(&mut self, now_ms: u64) -> Vec<Placement> {
+impl LeaderState {
+    /// Takes the stops to send now. Those that have been due for longest come first, so
+    /// that runs on unresponsive workers do not delay other stops.
+    fn take_due_stops(&mut self, now_ms: u64) -> Vec<Placement> {
         let mut due = Vec::new();
         for (name, link) in self.fleet.links() {
             for ((task, attempt), view) in link.runs.iter() {
@@ -81,9 +83,11 @@
             return Vec::new();
         }
         let sent = self.orders.values();
-        let open = sent.filter(|sent| matches!(sent, Sent::Stop(_))).count();
+        let open = sent
+            .filter(|sent| matches!(sent, SentOrder::Stop(_)))
+            .count();
         due.sort_by_key(|(again_ms, ..)| *again_ms);
-        due.truncate(STOPS_OPEN_MAX.saturating_sub(open));
+        due.truncate(MAX_STOPS_IN_FLIGHT.saturating_sub(open));
         let due = due.into_iter();
         let stops: Vec<Placement> = due
             .map(|(_, worker, task, attempt)| Placement {
@@ -104,15 +108,15 @@
 }
 
 impl Node {
-    /// Sends an order to a worker that is known; `false` if it is not.
-    pub(super) fn order(&mut self, sent: Sent, kind: OrderKind, timeout_ms: u64) -> bool {
-        let Some(lead) = &mut self.lead else {
+    /// Sends an order to a worker. Returns `false` if the worker is unknown.
+    pub(super) fn send_order(&mut self, sent: SentOrder, kind: OrderKind, timeout_ms: u64) -> bool {
+        let Some(lead) = &mut self.leader_state else {
             return false;
         };
         let Some(worker) = self.state.worker(sent.worker()) else {
             return false;
         };
-        let id = lead.draw_id();
+        let id = lead.allocate_id();
         let order = Order {
             id,
             address: worker.report.address,
@@ -127,9 +131,9 @@
         true
     }
 
-    /// Orders a start whose placement is durable.
-    pub(super) fn start(&mut self, now_ms: u64, start: &Placement) {
-        let Some(lead) = &mut self.lead else {
+    /// Orders the start of a task whose placement is durable.
+    pub(super) fn order_start(&mut self, now_ms: u64, start: &Placement) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         lead.scheduler.proposed.remove(&start.task);
@@ -158,29 +162,30 @@
             link.runs.insert((start.task, start.attempt), view);
         }
         if job.is_some_and(|job| job.verdict.is_some()) {
-            return self.not_started(start);
+            return self.withdraw_placement(start);
         }
         self.send_start(now_ms, start);
     }
 
     fn send_start(&mut self, now_ms: u64, start: &Placement) {
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let Some(job) = self.state.job(start.task.job) else {
             return;
         };
-        // A placement may become durable after the leader found that the worker's leases have
-        // run out, and before the change that frees all runs there. Its start would leave with
-        // a new lease, and the task start elsewhere beside it. None leaves while such a change
-        // is on its way; what is placed after the change is durable after it.
-        if lead.ending.contains(&start.worker) {
-            return self.not_started(start);
+        // A placement may become durable after the leader found that the worker's leases
+        // have expired, and before the change that ends all runs there is applied. Its
+        // start would be sent with a new lease, and the task would start elsewhere as well.
+        // So no start is sent while such a change is proposed. A placement that is proposed
+        // after that change also becomes durable after it.
+        if lead.workers_ending.contains(&start.worker) {
+            return self.withdraw_placement(start);
         }
         let checkpoint = job.task(start.task).map(|t| t.checkpoint.clone());
         let link = lead.fleet.link_mut(&start.worker);
         let Some(lease_end_ms) = link.and_then(|link| link.grant(now_ms)) else {
-            return self.not_started(start);
+            return self.withdraw_placement(start);
         };
         let step = TaskId {
             index: 0,
@@ -200,13 +205,13 @@
             checkpoint: checkpoint.unwrap_or_default(),
             ticket,
         };
-        if !self.order(Sent::Start(start.clone()), kind, ORDER_TIMEOUT_MS) {
-            self.not_started(start);
+        if !self.send_order(SentOrder::Start(start.clone()), kind, ORDER_TIMEOUT_MS) {
+            self.withdraw_placement(start);
         }
     }
 
-    /// A start that never happened and cannot happen any more.
-    fn not_started(&mut self, start: &Placement) {
+    /// Withdraws a placement whose start never happened and can no longer happen.
+    fn withdraw_placement(&mut self, start: &Placement) {
         let change = Change::Unplace {
             task: start.task,
             attempt: start.attempt,
@@ -215,9 +220,9 @@
         self.propose(change, None);
     }
 
-    /// Takes what came of an order.
-    pub(super) fn ordered(&mut self, now_ms: u64, id: u64, outcome: OrderOutcome) {
-        let Some(lead) = &mut self.lead else {
+    /// Handles the outcome of an order.
+    pub(super) fn finish_order(&mut self, now_ms: u64, id: u64, outcome: OrderOutcome) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let Some(sent) = lead.orders.remove(&id) else {
@@ -228,7 +233,7 @@
             ..
         } = outcome
         {
-            return self.worker_over(&sent.worker().clone());
+            return self.replace_worker(&sent.worker().clone());
         }
         let clock_ms = match &outcome {
             OrderOutcome::Done { clock_ms } | OrderOutcome::Rejected { clock_ms, .. } => *clock_ms,
@@ -243,15 +248,17 @@
             link.heard(now_ms, clock_ms);
         }
         match sent {
-            Sent::Start(start) => self.start_ordered(now_ms, &start, &outcome),
-            Sent::Stop(stop) => self.stop_ordered(now_ms, &stop, &outcome),
-            Sent::Renew { worker, sent_ms } => self.renewed(now_ms, &worker, sent_ms, outcome),
-            Sent::Throttle(run) => self.throttled(&run, &outcome),
+            SentOrder::Start(start) => self.finish_start(now_ms, &start, &outcome),
+            SentOrder::Stop(stop) => self.finish_stop(now_ms, &stop, &outcome),
+            SentOrder::Renew { worker, sent_ms } => {
+                self.finish_renewal(now_ms, &worker, sent_ms, outcome)
+            }
+            SentOrder::Throttle(run) => self.finish_throttle(&run, &outcome),
         }
     }
 
-    fn start_ordered(&mut self, now_ms: u64, start: &Placement, outcome: &OrderOutcome) {
-        let Some(lead) = &mut self.lead else {
+    fn finish_start(&mut self, now_ms: u64, start: &Placement, outcome: &OrderOutcome) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let Some(link) = lead.fleet.link_mut(&start.worker) else {
@@ -274,23 +281,23 @@
             OrderOutcome::NotSent if unanswered == 0 => {
                 tracing::info!(
                     task = %start.task, attempt = start.attempt, worker = %start.worker,
-                    "task: a start did not leave"
+                    "task: a start was not sent"
                 );
-                link.cool(now_ms, CROWDED_REST_MS);
-                self.not_started(start);
+                link.cool(now_ms, NOT_SENT_COOLDOWN_MS);
+                self.withdraw_placement(start);
             }
-            // An earlier sending of the same start may still arrive.
+            // An earlier copy of the same start may still arrive.
             OrderOutcome::Unanswered | OrderOutcome::NotSent => {
                 tracing::info!(
                     task = %start.task, attempt = start.attempt, worker = %start.worker,
-                    unanswered = unanswered + 1, "task: a start is not answered"
+                    unanswered = unanswered + 1, "task: a start was not answered"
                 );
                 view.phase = RunPhase::Starting {
                     unanswered: unanswered + 1,
                 };
                 self.out.push(Effect::Count(Decision::StartSentAgain));
-                if unanswered + 1 > START_AGAIN_MAX {
-                    want_stop(now_ms, Some(view));
+                if unanswered + 1 > MAX_START_RETRIES {
+                    request_stop(now_ms, Some(view));
                 } else {
                     self.send_start(now_ms, start);
                 }
@@ -298,17 +305,17 @@
             OrderOutcome::Rejected { reason, .. } => {
                 tracing::info!(
                     task = %start.task, attempt = start.attempt, worker = %start.worker,
-                    %reason, unanswered, "task: a start is rejected"
+                    %reason, unanswered, "task: the worker rejected a start"
                 );
                 self.out
                     .push(Effect::Count(Decision::StartRejected(*reason)));
-                // An earlier sending of the same start may still arrive.
+                // An earlier copy of the same start may still arrive.
                 if unanswered > 0 || *reason == Rejection::Fence {
-                    want_stop(now_ms, Some(view));
+                    request_stop(now_ms, Some(view));
                 } else {
                     match reason {
-                        Rejection::Room => link.cool(now_ms, ROOM_REST_MS),
-                        Rejection::Unhealthy => link.cool(now_ms, UNHEALTHY_REST_MS),
+                        Rejection::Room => link.cool(now_ms, NO_ROOM_COOLDOWN_MS),
+                        Rejection::Unhealthy => link.cool(now_ms, UNHEALTHY_COOLDOWN_MS),
                         _ => {}
                     }
                     if *reason == Rejection::Ticket {
@@ -318,28 +325,28 @@
                         };
                         lead.scheduler.tickets.remove(&step);
                     }
-                    self.not_started(start);
+                    self.withdraw_placement(start);
                 }
             }
         }
     }
 
-    /// Orders stops that are wanted and not on their way, as many as may be.
-    pub(super) fn order_stops(&mut self, now_ms: u64) {
-        let Some(lead) = &mut self.lead else {
+    /// Sends requested stops that are not in flight, up to the limit.
+    pub(super) fn send_stops(&mut self, now_ms: u64) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
-        for stop in lead.take_stops(now_ms) {
+        for stop in lead.take_due_stops(now_ms) {
             let kind = OrderKind::Stop {
                 task: stop.task,
                 attempt: stop.attempt,
             };
-            self.order(Sent::Stop(stop), kind, ORDER_TIMEOUT_MS);
+            self.send_order(SentOrder::Stop(stop), kind, ORDER_TIMEOUT_MS);
         }
     }
 
-    fn stop_ordered(&mut self, now_ms: u64, stop: &Placement, outcome: &OrderOutcome) {
-        let Some(lead) = &mut self.lead else {
+    fn finish_stop(&mut self, now_ms: u64, stop: &Placement, outcome: &OrderOutcome) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let Some(view) = lead.fleet.run_mut(&stop.worker, stop.task, stop.attempt) else {
@@ -349,103 +356,109 @@
             OrderOutcome::Done { .. } | OrderOutcome::Listed { .. } => {
                 RunPhase::Stopped { at_ms: now_ms }
             }
-            // It waited for its turn, and waits again.
+            // The order timed out in the local queue; it is queued again at once.
             OrderOutcome::NotSent => RunPhase::Stopping {
                 ordered: false,
                 again_ms: now_ms,
             },
             OrderOutcome::Rejected { .. } | OrderOutcome::Unanswered => RunPhase::Stopping {
                 ordered: false,
-                again_ms: now_ms + STOP_AGAIN_MS,
+                again_ms: now_ms + STOP_RETRY_DELAY_MS,
             },
         };
     }
 
-    /// Sets the share of a run's speed.
-    pub(super) fn throttle(&mut self, run: Placement, percent: u8) {
-        if let Some(lead) = &mut self.lead
+    /// Sets the share of its full speed at which a run may proceed.
+    pub(super) fn set_share(&mut self, run: Placement, percent: u8) {
+        if let Some(lead) = &mut self.leader_state
             && let Some(view) = lead.fleet.run_mut(&run.worker, run.task, run.attempt)
         {
             view.share_percent = percent;
         }
-        tracing::info!(task = %run.task, worker = %run.worker, percent, "task: its share is set");
+        tracing::info!(
+            task = %run.task, worker = %run.worker, percent,
+            "task: its speed share is set"
+        );
         let kind = OrderKind::Throttle {
             task: run.task,
             attempt: run.attempt,
             percent,
         };
-        self.order(Sent::Throttle(run), kind, ORDER_TIMEOUT_MS);
+        self.send_order(SentOrder::Throttle(run), kind, ORDER_TIMEOUT_MS);
     }
 
-    fn throttled(&mut self, run: &Placement, outcome: &OrderOutcome) {
+    fn finish_throttle(&mut self, run: &Placement, outcome: &OrderOutcome) {
         if matches!(outcome, OrderOutcome::Done { .. }) {
             return;
         }
-        if let Some(lead) = &mut self.lead
+        if let Some(lead) = &mut self.leader_state
             && let Some(view) = lead.fleet.run_mut(&run.worker, run.task, run.attempt)
         {
-            // Whatever it has now, the next look orders it again.
+            // The actual share is unknown now, so the next check orders it again.
             view.share_percent = UNKNOWN_SHARE;
         }
     }
 
-    /// Asks the advisor about steps whose tickets are missing.
-    pub(super) fn ask_advice(&mut self, now_ms: u64) {
-        let Some(lead) = &mut self.lead else {
+    /// Requests advice about steps whose tickets are missing.
+    pub(super) fn request_advice(&mut self, now_ms: u64) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         for (step, mut workers) in lead.scheduler.take_unadvised() {
-            let asked = lead.questions.values().any(|(s, ..)| *s == step);
-            if asked || lead.questions.len() >= QUESTIONS_MAX {
+            let asked = lead.advice_requests.values().any(|(s, ..)| *s == step);
+            if asked || lead.advice_requests.len() >= MAX_ADVICE_REQUESTS {
                 continue;
             }
-            workers.truncate(QUESTION_WORKERS_MAX);
+            workers.truncate(MAX_WORKERS_PER_ADVICE_REQUEST);
             let job = self.state.job(step.job);
             let queue = job.and_then(|j| self.state.configuration()?.queue(&j.queue));
             let Some(advice) = queue.and_then(|q| q.advice) else {
                 continue;
             };
             let takes_ms = advice.decision_ms + advice.per_worker_ms * workers.len() as u64;
-            let id = lead.draw_id();
-            lead.questions.insert(
+            let id = lead.allocate_id();
+            lead.advice_requests.insert(
                 id,
                 (
                     step,
                     workers.clone(),
-                    now_ms + advice.validity_ms * TICKET_USED_PERCENT / 100,
+                    now_ms + advice.validity_ms * TICKET_USABLE_PERCENT / 100,
                 ),
             );
             self.out.push(Effect::Advise {
                 id,
                 step,
                 workers,
-                timeout_ms: takes_ms * QUESTIONS_MAX as u64 + ORDER_TIMEOUT_MS,
+                timeout_ms: takes_ms * MAX_ADVICE_REQUESTS as u64 + ORDER_TIMEOUT_MS,
             });
         }
     }
 
-    pub(super) fn advised(
+    pub(super) fn handle_advice(
         &mut self,
         now_ms: u64,
         id: u64,
         allowed: Option<Vec<(InstanceName, String)>>,
     ) {
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
-        let Some((step, asked, until_ms)) = lead.questions.remove(&id) else {
+        let Some((step, asked, until_ms)) = lead.advice_requests.remove(&id) else {
             return;
         };
         lead.dirty = true;
         let Some(allowed) = allowed else {
-            tracing::warn!(%step, "advisor: no answer");
+            tracing::warn!(%step, "advisor: a request was not answered");
             return;
         };
-        tracing::info!(%step, asked = asked.len(), allowed = allowed.len(), "advisor: answered");
+        tracing::info!(
+            %step, asked = asked.len(), allowed = allowed.len(),
+            "advisor: a request was answered"
+        );
         lead.scheduler
-            .take_advice(now_ms, step, &asked, allowed, until_ms, REFUSAL_MS);
+            .take_advice(now_ms, step, &asked, allowed, until_ms, REFUSAL_CACHE_MS);
     }
 }
 
-/// No share that is ever ordered.
+/// A value that is never ordered, so that it differs from every wanted share.
 const UNKNOWN_SHARE: u8 = u8::MAX;
--- a/src/control/node/pass.rs
+++ b/src/control/node/pass.rs
@@ -1,38 +1,45 @@
-//! The pass that a leader makes again and again over what changed and what waits.
+//! The scheduling pass: the leader's periodic look at changed jobs and waiting steps.
 
 use super::super::{Change, RunPhase, RunView, SchedulerWorld, State, Upkeep};
 use super::Node;
-use super::lead::{Lead, Waiter};
+use super::leader_state::{LeaderState, Waiter};
 use crate::jobs::JobId;
 
-/// Between two passes of the scheduler at least: ends and arrivals gather for so
-/// long, which costs a task about a hundredth of its run time.
-const PASS_MS: u64 = 8;
-/// Between two passes at most: time alone brings tasks forward.
-const IDLE_PASS_MS: u64 = 100;
+/// Minimum time between two scheduling passes. Run ends and arrivals accumulate in between,
+/// which delays a task by about a hundredth of its run time.
+const MIN_PASS_INTERVAL_MS: u64 = 8;
+/// Maximum time between two passes. Priorities change with time alone, so passes are needed
+/// without events too.
+const MAX_PASS_INTERVAL_MS: u64 = 100;
 
 impl Node {
-    /// One look at what changed and what waits: stops first, as they free room.
-    pub(super) fn pass(&mut self, now_ms: u64) {
-        let Some(lead) = &mut self.lead else {
+    /// Runs a scheduling pass if one is due: places tasks that wait and sends the stops of
+    /// runs that are no longer wanted.
+    pub(super) fn run_pass(&mut self, now_ms: u64) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
-        let due_ms = lead.pass_ms + if lead.dirty { PASS_MS } else { IDLE_PASS_MS };
+        let due_ms = lead.last_pass_ms
+            + if lead.dirty {
+                MIN_PASS_INTERVAL_MS
+            } else {
+                MAX_PASS_INTERVAL_MS
+            };
         if now_ms < due_ms {
             return;
         }
-        lead.pass_ms = now_ms;
+        lead.last_pass_ms = now_ms;
         let unix_ms = self.clock.unix_ms(now_ms);
         let world = SchedulerWorld {
             state: &self.state,
             fleet: &lead.fleet,
             estimates: match self.settings.policy.order.learn {
                 true => self.state.history().estimates(),
-                false => &self.unlearnt,
+                false => &self.default_estimates,
             },
             policy: &self.settings.policy,
         };
-        let looked = lead.scheduler.refresh(unix_ms, &world);
+        let changed = lead.scheduler.refresh(unix_ms, &world);
         let starts_open = self.settings.policy.placement.starts_open;
         let starts_max = starts_open.saturating_sub(lead.open_starts());
         let mut starts = Vec::new();
@@ -43,7 +50,7 @@
             starts = lead.scheduler.pass(now_ms, &world, starts_max);
         }
         self.looked += std::mem::take(&mut lead.scheduler.looked);
-        // What finds no place in the window is looked at again.
+        // Tasks that found no free start slot are considered again in the next pass.
         lead.dirty = starts.len() >= starts_max;
         for start in starts {
             let change = Change::Place {
@@ -54,23 +61,23 @@
             lead.pending.add(change, Some(Waiter::Place(start)));
         }
         self.looked += lead.recurring.len() as u64;
-        for job in looked {
-            lead.follow_up(now_ms, &self.state, job);
+        for job in changed {
+            lead.update_after_change(now_ms, &self.state, job);
         }
-        self.order_stops(now_ms);
-        self.ask_advice(now_ms);
+        self.send_stops(now_ms);
+        self.request_advice(now_ms);
     }
 
-    /// Brings into being the occurrences whose time has come.
-    pub(super) fn bring_due(&mut self, now_ms: u64) {
+    /// Proposes the creation of occurrences that are due.
+    pub(super) fn create_due_occurrences(&mut self, now_ms: u64) {
         let unix_ms = self.clock.unix_ms(now_ms);
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         for job in lead.recurring.iter().filter_map(|id| self.state.job(*id)) {
             if let Some((occurrence, due_unix_ms)) = job.next_due()
                 && unix_ms >= due_unix_ms
-                && lead.due.insert((job.id, occurrence))
+                && lead.proposed_occurrences.insert((job.id, occurrence))
             {
                 let change = Change::Due {
                     job: job.id,
@@ -82,10 +89,11 @@
     }
 }
 
-impl Lead {
-    /// Sees to a job that changed: wants stopped what nobody wants, runs of a job that
-    /// came to its end and copies of tasks that are done, and minds its next occurrence.
-    fn follow_up(&mut self, now_ms: u64, state: &State, id: JobId) {
+impl LeaderState {
+    /// Updates the leader's view of a changed job. It requests the stop of runs that are no
+    /// longer needed, which are those of an ended job and duplicates of finished tasks, and
+    /// tracks whether a further occurrence is due.
+    fn update_after_change(&mut self, now_ms: u64, state: &State, id: JobId) {
         let Some(job) = state.job(id) else {
             self.recurring.remove(&id);
             return;
@@ -94,18 +102,18 @@
             Some(_) => self.recurring.insert(id),
             None => self.recurring.remove(&id),
         };
-        let over = job.verdict.is_some();
+        let ended = job.verdict.is_some();
         for (task, run) in job.runs() {
-            let unwanted = over || job.task(task).is_some_and(|t| t.done);
+            let unwanted = ended || job.task(task).is_some_and(|t| t.done);
             if unwanted && let Some(link) = self.fleet.link_mut(&run.worker) {
-                want_stop(now_ms, link.runs.get_mut(&(task, run.attempt)));
+                request_stop(now_ms, link.runs.get_mut(&(task, run.attempt)));
             }
         }
     }
 }
 
-/// Marks a run to be stopped, unless it is.
-pub(super) fn want_stop(now_ms: u64, view: Option<&mut RunView>) {
+/// Marks a run to be stopped, unless it is being stopped already.
+pub(super) fn request_stop(now_ms: u64, view: Option<&mut RunView>) {
     if let Some(view) = view
         && !view.is_stopping()
     {
--- a/src/control/node/renewals.rs
+++ b/src/control/node/renewals.rs
@@ -1,37 +1,39 @@
-//! Renewals of workers' leases, which also list what runs and what ended.
+//! Renewals of workers' leases. The answer to a renewal also lists running tasks and ended
+//! runs.
 
 use super::super::{
     Change, Decision, Effect, Ended, OrderKind, OrderOutcome, Placement, Rejection, RunPhase,
     Running, Throttle, stands_still,
 };
 use super::Node;
-use super::lead::Waiter;
-use super::orders::{ORDER_TIMEOUT_MS, Sent};
-use super::pass::want_stop;
+use super::leader_state::Waiter;
+use super::orders::{ORDER_TIMEOUT_MS, SentOrder};
+use super::pass::request_stop;
 use crate::jobs::Ending;
 use crate::model::InstanceName;
 
-/// How long a renewal waits at the worker for an end. An end is told at once; its
-/// lease, several times as long, outlives some lost ones, and progress is at most so
-/// old.
+/// How long a renewal waits at the worker for a run to end. An end is reported at once. The
+/// lease lasts several times as long, so it survives some lost renewals, and reported
+/// progress is at most this old.
 const RENEWAL_WAIT_MS: u64 = 1_000;
-/// How long it waits where nothing runs, the longest that workers allow: three of four
-/// pools are idle at a time, and half of all looks were at their workers.
-const IDLE_WAIT_MS: u64 = 2_000;
-/// What a renewal's answer may take beyond its wait.
+/// How long a renewal waits at an idle worker; the longest that workers allow. Three of
+/// four pools are idle at a time, so half of all renewals went to idle workers with the
+/// shorter wait.
+const IDLE_RENEWAL_WAIT_MS: u64 = 2_000;
+/// Time that the answer to a renewal may take beyond its wait.
 const RENEWAL_SLACK_MS: u64 = 500;
-/// Between two renewals of a worker at least: ends gather, so that a busy worker
-/// costs no more calls than this allows.
-const RENEWAL_GAP_MS: u64 = 15;
-/// Rest of a worker on which a run stood still; it is tried again after.
-const STILL_REST_MS: u64 = 3_000;
-/// If the ends of a listing are not durable by then, the worker is asked anyway, as
-/// its lease must not run out.
-const ENDS_PATIENCE_MS: u64 = 700;
+/// Minimum time between two renewals of a worker. Ends accumulate in between, which bounds
+/// the number of calls that a busy worker causes.
+const MIN_RENEWAL_GAP_MS: u64 = 15;
+/// Cooldown of a worker on which a run stalled.
+const STALLED_RUN_COOLDOWN_MS: u64 = 3_000;
+/// How long the next renewal waits for the listed ends to become durable. After that the
+/// worker is asked anyway, because its lease must not expire.
+const ENDS_COMMIT_TIMEOUT_MS: u64 = 700;
 
 impl Node {
     pub(super) fn renew_leases(&mut self, now_ms: u64) {
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let state = &self.state;
@@ -47,7 +49,7 @@
             let wait_ms = match (link.is_confirmed(), link.runs.is_empty()) {
                 (false, _) => 0,
                 (true, false) => RENEWAL_WAIT_MS,
-                (true, true) => IDLE_WAIT_MS,
+                (true, true) => IDLE_RENEWAL_WAIT_MS,
             };
             link.renewal_wait_ms = wait_ms;
             let kind = OrderKind::Renew {
@@ -58,15 +60,15 @@
             due.push((name.clone(), kind, wait_ms + RENEWAL_SLACK_MS));
         }
         for (name, kind, timeout_ms) in due {
-            let sent = Sent::Renew {
+            let sent = SentOrder::Renew {
                 worker: name,
                 sent_ms: now_ms,
             };
-            self.order(sent, kind, timeout_ms);
+            self.send_order(sent, kind, timeout_ms);
         }
     }
 
-    pub(super) fn renewed(
+    pub(super) fn finish_renewal(
         &mut self,
         now_ms: u64,
         worker: &InstanceName,
@@ -79,9 +81,9 @@
             ended,
         } = outcome
         else {
-            return self.not_renewed(now_ms, worker, &outcome);
+            return self.handle_failed_renewal(now_ms, worker, &outcome);
         };
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let Some(link) = lead.fleet.link_mut(worker) else {
@@ -96,12 +98,12 @@
             .into_iter()
             .filter(|end| end.number > link.proposed)
             .collect();
-        link.renew_ms = now_ms + RENEWAL_GAP_MS;
+        link.renew_ms = now_ms + MIN_RENEWAL_GAP_MS;
         if let Some(last) = fresh.iter().map(|end| end.number).max() {
             link.proposed = last;
         }
         if link.proposed > link.acknowledged {
-            link.renew_ms = now_ms + ENDS_PATIENCE_MS;
+            link.renew_ms = now_ms + ENDS_COMMIT_TIMEOUT_MS;
         }
         for (task, attempt) in absent {
             tracing::info!(%task, attempt, %worker, "task: it is not there and will not start");
@@ -116,20 +118,25 @@
         for end in fresh {
             self.run_ended(now_ms, worker, end);
         }
-        self.stop_strangers(worker, &running);
-        self.restart_still(now_ms, worker);
-        self.set_shares(now_ms, worker);
+        self.stop_unknown_runs(worker, &running);
+        self.stop_stalled_runs(now_ms, worker);
+        self.adjust_best_effort_shares(now_ms, worker);
     }
 
-    fn not_renewed(&mut self, now_ms: u64, worker: &InstanceName, outcome: &OrderOutcome) {
-        let Some(lead) = &mut self.lead else {
+    fn handle_failed_renewal(
+        &mut self,
+        now_ms: u64,
+        worker: &InstanceName,
+        outcome: &OrderOutcome,
+    ) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let Some(link) = lead.fleet.link_mut(worker) else {
             return;
         };
         if *outcome == OrderOutcome::NotSent {
-            tracing::debug!(%worker, "worker: a renewal did not leave");
+            tracing::debug!(%worker, "worker: a renewal was not sent");
             return link.renewal_not_sent(now_ms);
         }
         if link.is_heard(now_ms) {
@@ -141,12 +148,15 @@
             ..
         } = outcome
         {
-            tracing::warn!(%worker, term = lead.term, "worker: another leader was there");
+            tracing::warn!(
+                %worker, term = lead.term,
+                "worker: it has seen the fencing token of a newer leader"
+            );
         }
     }
 
     fn run_ended(&mut self, now_ms: u64, worker: &InstanceName, end: Ended) {
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         if let Some(link) = lead.fleet.link_mut(worker)
@@ -177,16 +187,15 @@
         self.propose(change, Some(waiter));
     }
 
-    /// Stops runs that stand still, to start them elsewhere, and gives the
-    /// worker a rest.
-    fn restart_still(&mut self, now_ms: u64, worker: &InstanceName) {
-        let Some(lead) = &mut self.lead else {
+    /// Stops stalled runs so that they start elsewhere, and puts the worker on a cooldown.
+    fn stop_stalled_runs(&mut self, now_ms: u64, worker: &InstanceName) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let Some(link) = lead.fleet.link_mut(worker) else {
             return;
         };
-        let mut still = 0;
+        let mut stalled = 0;
         for ((task, attempt), view) in link.runs.iter_mut() {
             let Some(job) = self.state.job(task.job) else {
                 continue;
@@ -199,28 +208,28 @@
             if stands_still(now_ms, view, &self.settings.policy.runs) {
                 tracing::info!(
                     %task, attempt, %worker, percent = view.percent,
-                    "task: it stands still and starts anew"
+                    "task: the run stalled and is started again"
                 );
                 self.out.push(Effect::Count(Decision::StoodStill));
-                want_stop(now_ms, Some(view));
-                still += 1;
+                request_stop(now_ms, Some(view));
+                stalled += 1;
             }
         }
-        if still > 0 {
-            link.cool(now_ms, STILL_REST_MS);
+        if stalled > 0 {
+            link.cool(now_ms, STALLED_RUN_COOLDOWN_MS);
         }
     }
 
-    /// Stops runs that the state knows nothing of: whoever started them, nobody
-    /// waits for them, and they take room that is given to others.
-    fn stop_strangers(&mut self, worker: &InstanceName, running: &[Running]) {
-        let Some(lead) = &self.lead else {
+    /// Stops runs that are not in the replicated state. Nobody waits for their results, and
+    /// they take room that is assigned to others.
+    fn stop_unknown_runs(&mut self, worker: &InstanceName, running: &[Running]) {
+        let Some(lead) = &self.leader_state else {
             return;
         };
         let Some(link) = lead.fleet.link(worker) else {
             return;
         };
-        let strangers: Vec<Placement> = running
+        let unknown: Vec<Placement> = running
             .iter()
             .filter(|run| !link.runs.contains_key(&(run.task, run.attempt)))
             .map(|run| Placement {
@@ -229,39 +238,43 @@
                 worker: worker.clone(),
             })
             .collect();
-        for run in strangers {
-            tracing::info!(task = %run.task, attempt = run.attempt, %worker, "task: nobody wants it");
+        for run in unknown {
+            tracing::info!(
+                task = %run.task, attempt = run.attempt, %worker,
+                "task: an unknown run is stopped"
+            );
             let kind = OrderKind::Stop {
                 task: run.task,
                 attempt: run.attempt,
             };
-            self.order(Sent::Stop(run), kind, ORDER_TIMEOUT_MS);
+            self.send_order(SentOrder::Stop(run), kind, ORDER_TIMEOUT_MS);
         }
     }
 
-    /// Sets the speed of best-effort tasks by the tails of those that serve.
-    fn set_shares(&mut self, now_ms: u64, worker: &InstanceName) {
-        let Some(lead) = &mut self.lead else {
+    /// Sets the speed of best-effort tasks from the tail latencies of the latency-sensitive
+    /// tasks on the same worker.
+    fn adjust_best_effort_shares(&mut self, now_ms: u64, worker: &InstanceName) {
+        let Some(lead) = &mut self.leader_state else {
             return;
         };
         let Some(link) = lead.fleet.link(worker) else {
             return;
         };
-        let mut worst: Option<f64> = None;
-        let mut filling = Vec::new();
+        let mut worst_ratio: Option<f64> = None;
+        let mut best_effort = Vec::new();
         for ((task, attempt), view) in link.runs.iter() {
             let job = self.state.job(task.job);
             let Some(step) = job.and_then(|j| j.spec.steps.get(usize::from(task.step))) else {
                 continue;
             };
             if step.best_effort {
-                filling.push((*task, *attempt, view.share_percent, view.is_stopping()));
+                best_effort.push((*task, *attempt, view.share_percent, view.is_stopping()));
             } else if let (Some(target_ms), Some(tail_ms)) = (step.tail_target_ms, view.gauge) {
-                let part = tail_ms as f64 / target_ms.max(1) as f64;
-                worst = Some(worst.map_or(part, |w| w.max(part)));
+                let ratio = tail_ms as f64 / target_ms.max(1) as f64;
+                worst_ratio = Some(worst_ratio.map_or(ratio, |w| w.max(ratio)));
             }
         }
-        if filling.is_empty() {
+        if best_effort.is_empty() {
             lead.throttles.remove(worker);
             return;
         }
@@ -269,16 +282,16 @@
             .throttles
             .entry(worker.clone())
             .or_insert_with(|| Throttle::new(now_ms));
-        throttle.observe(now_ms, worst.unwrap_or(0.0));
+        throttle.observe(now_ms, worst_ratio.unwrap_or(0.0));
         let percent = throttle.percent();
-        for (task, attempt, share, stopping) in filling {
+        for (task, attempt, share, stopping) in best_effort {
             if share != percent && !stopping {
                 let run = Placement {
                     task,
                     attempt,
                     worker: worker.clone(),
                 };
-                self.throttle(run, percent);
+                self.set_share(run, percent);
             }
         }
     }
--- a/src/control/peer_message.rs
+++ b/src/control/peer_message.rs
@@ -4,20 +4,22 @@
 use crate::consensus::{Message, Stamp};
 use crate::model::EntryName;
 
-/// Orders or outcomes in one message, by their bytes: a heartbeat waits behind no more
-/// than that on a slow link, and with one of the largest on top it fits into a frame.
-const BATCH_LIMIT_BYTES: usize = 256 << 10;
+/// Maximum size of the orders or outcomes in one message. It bounds the delay of a
+/// heartbeat behind the message on a slow link, and a message with one more item of the
+/// largest size still fits into a frame.
+const MAX_BATCH_BYTES: usize = 256 << 10;
 
-/// Cuts a row into parts of at most [`BATCH_LIMIT_BYTES`], or of one that is larger.
-pub(super) fn batches<T>(all: Vec<T>, size_bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
+/// Splits items into batches of at most [`MAX_BATCH_BYTES`]. An item that is larger gets a
+/// batch of its own.
+pub(super) fn batches<T>(items: Vec<T>, size_bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut batches: Vec<Vec<T>> = Vec::new();
     let mut bytes = 0;
-    for one in all {
-        let size = size_bytes(&one);
+    for item in items {
+        let size = size_bytes(&item);
         match batches.last_mut() {
-            Some(batch) if bytes + size <= BATCH_LIMIT_BYTES => batch.push(one),
+            Some(batch) if bytes + size <= MAX_BATCH_BYTES => batch.push(item),
             _ => {
-                batches.push(vec![one]);
+                batches.push(vec![item]);
                 bytes = 0;
             }
         }
@@ -26,56 +28,56 @@
     batches
 }
 
-/// What control instances and entry instances say to each other.
+/// A message between control instances, or between control and entry instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Of the replicated log.
+    /// A message of the replicated log.
     Log(Message),
-    /// A call for the leader.
+    /// A call that is forwarded to the leader.
     Call {
-        /// Names it in the answer.
+        /// The id that the answer repeats.
         id: u64,
         /// The call.
         call: Call,
     },
-    /// The answer to a call.
+    /// The answer to a forwarded call.
     Answer {
-        /// From the call.
+        /// The id of the call.
         id: u64,
         /// The answer.
         answer: Answer,
     },
-    /// The sender is there and wants to know who leads.
+    /// The sender is up and asks who leads.
     Hello {
-        /// Whether it has a data folder and would vote.
+        /// Whether the sender has a data folder and can vote.
         has_folder: bool,
     },
     /// The answer to a hello.
     Welcome {
-        /// The leader, if the sender knows one with a quorum behind it.
+        /// The leader, if the sender knows one that a quorum supports.
         leader: Option<EntryName>,
-        /// The sender's term, which that leader leads.
+        /// The sender's term, in which that leader leads.
         term: u64,
         /// All control instances that the sender knows.
         members: Vec<EntryName>,
     },
     /// Orders to workers that a follower carries out for its leader.
     Orders {
-        /// The term that the sender leads.
+        /// The term in which the sender leads.
         term: u64,
-        /// The latest stamp that the sender heard from the receiver: tells how old this
-        /// message is at most when it arrives.
+        /// The latest stamp that the sender received from the receiver. It bounds the age
+        /// of this message on arrival.
         heard: Stamp,
-        /// The orders, with the numbers of the leader.
+        /// The orders, with the ids that the leader assigned.
         orders: Vec<Order>,
     },
-    /// What came of orders that the sender carried out.
+    /// The outcomes of orders that the sender carried out.
     Outcomes {
-        /// The term of the leader who gave the orders.
+        /// The term of the leader that sent the orders.
         term: u64,
-        /// By the leader's numbers.
+        /// The outcomes by the ids that the leader assigned.
         outcomes: Vec<(u64, OrderOutcome)>,
-        /// Whether the sender is about to end and carries nothing more.
+        /// Whether the sender is about to stop and carries out no more orders.
         closing: bool,
     },
 }
--- a/src/control/pending.rs
+++ b/src/control/pending.rs
@@ -4,67 +4,74 @@
 use crate::consensus::COMMAND_LIMIT_BYTES;
 use crate::model::EntryName;
 
-/// Commands that may be on their way into the log at once. While they are, new
-/// changes gather for the next, so one sync carries many; two keep the disk busy.
-const IN_FLIGHT_MAX: usize = 2;
-/// Between two commands at least, in milliseconds: changes gather for the next. Every
-/// command is a message to every other control instance and one back, and a sync on
-/// each; at hundreds a second they took a third of a leader's processor time with six
-/// instances. A task's start waits half of this on average, below a hundredth of the
+/// Maximum number of commands that are proposed and not applied. New changes accumulate
+/// meanwhile, so that one sync carries many; two commands keep the disk busy.
+const MAX_COMMANDS_IN_FLIGHT: usize = 2;
+/// Minimum time between two commands, in which changes accumulate. Every command costs a
+/// message to and from each other control instance and a sync on each of them. At hundreds
+/// of commands a second they took a third of the leader's processor time with six
+/// instances. A start waits half of this time on average, which is below a hundredth of the
 /// shortest run times.
-const GATHER_MS: u64 = 8;
-/// Twice as long after a command with this many changes: some 2,500 a second.
-const GATHER_MORE_CHANGES: usize = 20;
-/// Changes in one command.
-const CHANGES_MAX: usize = 100;
-/// Bytes in one command, but that one change alone may have more. The log drops a
-/// command above its limit, and the leader would wait for it for good: nothing is
-/// accepted or started any more, while leases are renewed as if all were well.
-const COMMAND_BYTES: usize = COMMAND_LIMIT_BYTES / 2;
+const MIN_COMMAND_INTERVAL_MS: u64 = 8;
+/// A command with at least this many changes doubles the time until the next one. The rate
+/// is then about 2,500 changes a second.
+const LARGE_COMMAND_CHANGES: usize = 20;
+/// Maximum number of changes in one command.
+const MAX_CHANGES_PER_COMMAND: usize = 100;
+/// Maximum size of a command of more than one change. The log drops a command above its
+/// limit. The leader would wait for it forever and accept and start nothing more, while it
+/// kept renewing leases as if all were well.
+const MAX_COMMAND_BYTES: usize = COMMAND_LIMIT_BYTES / 2;
 
-/// Changes on their way into the log, each with what waits for it.
+/// Changes that are queued for the log or proposed to it, each with an optional waiter.
 #[derive(Debug)]
 pub struct Pending<W> {
     by: EntryName,
     start: u64,
-    next: u64,
-    next_ms: u64,
-    gathering: Vec<(Change, Option<W>)>,
+    next_sequence: u64,
+    next_command_ms: u64,
+    queued: Vec<(Change, Option<W>)>,
     in_flight: BTreeMap<u64, Vec<Option<W>>>,
 }
 
 impl<W> Pending<W> {
-    /// Nothing is on its way. `start` tells this leader's commands from others.
+    /// Creates an empty queue. `start` distinguishes the commands of this leadership from
+    /// others.
     pub fn new(by: EntryName, start: u64) -> Self {
         Self {
             by,
             start,
-            next: 1,
-            next_ms: 0,
-            gathering: Vec::new(),
+            next_sequence: 1,
+            next_command_ms: 0,
+            queued: Vec::new(),
             in_flight: BTreeMap::new(),
         }
     }
 
-    /// Adds a change.
+    /// Queues a change.
     pub fn add(&mut self, change: Change, waiter: Option<W>) {
-        self.gathering.push((change, waiter));
+        self.queued.push((change, waiter));
     }
 
-    /// The next command to propose, if it is time.
+    /// Returns the next command to propose, if one is due.
     pub fn next(&mut self, now_ms: u64, at_unix_ms: u64) -> Option<Command> {
-        let early = now_ms < self.next_ms && self.gathering.len() < CHANGES_MAX;
-        if self.gathering.is_empty() || early || self.in_flight.len() >= IN_FLIGHT_MAX {
+        let early = now_ms < self.next_command_ms && self.queued.len() < MAX_CHANGES_PER_COMMAND;
+        if self.queued.is_empty() || early || self.in_flight.len() >= MAX_COMMANDS_IN_FLIGHT {
             return None;
         }
-        let count = self.count();
-        let busy = count >= GATHER_MORE_CHANGES;
-        self.next_ms = now_ms + if busy { 2 * GATHER_MS } else { GATHER_MS };
-        let rest = self.gathering.split_off(count);
-        let taken = std::mem::replace(&mut self.gathering, rest);
+        let count = self.next_change_count();
+        let is_large = count >= LARGE_COMMAND_CHANGES;
+        self.next_command_ms = now_ms
+            + if is_large {
+                2 * MIN_COMMAND_INTERVAL_MS
+            } else {
+                MIN_COMMAND_INTERVAL_MS
+            };
+        let rest = self.queued.split_off(count);
+        let taken = std::mem::replace(&mut self.queued, rest);
         let (changes, waiters) = taken.into_iter().unzip();
-        let sequence = self.next;
-        self.next += 1;
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
         self.in_flight.insert(sequence, waiters);
         Some(Command {
             by: self.by.clone(),
@@ -75,18 +82,19 @@
         })
     }
 
-    /// How many of the changes that gathered make the next command.
-    fn count(&self) -> usize {
+    /// Returns the number of queued changes that fit into the next command.
+    fn next_change_count(&self) -> usize {
         let mut size_bytes = 0;
-        let first = self.gathering.iter().take(CHANGES_MAX);
-        let fit = first.take_while(|(change, _)| {
+        let next = self.queued.iter().take(MAX_CHANGES_PER_COMMAND);
+        let fit = next.take_while(|(change, _)| {
             size_bytes += change.size_bytes();
-            size_bytes <= COMMAND_BYTES
+            size_bytes <= MAX_COMMAND_BYTES
         });
         fit.count().max(1)
     }
 
-    /// A command was applied; what waited for its changes, in their order.
+    /// Returns the waiters of an applied command's changes, in their order. The result is
+    /// empty if another leadership proposed the command.
     pub fn applied(&mut self, command: &Command) -> Vec<Option<W>> {
         if command.by != self.by || command.start != self.start {
             return Vec::new();
@@ -94,10 +102,10 @@
         self.in_flight.remove(&command.sequence).unwrap_or_default()
     }
 
-    /// Everything that waits, when its leader leads no more.
+    /// Returns all waiters, when the leadership ends.
     pub fn into_waiters(self) -> impl Iterator<Item = W> {
-        let gathering = self.gathering.into_iter().filter_map(|(_, w)| w);
+        let queued = self.queued.into_iter().filter_map(|(_, w)| w);
         let in_flight = self.in_flight.into_values().flatten().flatten();
-        gathering.chain(in_flight)
+        queued.chain(in_flight)
     }
 }
