--- a/src/control/relay.rs
+++ b/src/control/relay.rs
@@ -1,106 +1,109 @@
-//! Hands calls on to the leader, whoever that is at present.
+//! Forwards calls to the leader, whichever instance that is at present.
 //!
-//! Every call may be carried out twice without harm, so one that is not answered
-//! in time is sent again, to another control instance if need be. A caller is told "not
-//! run" by a leader, or if each control instance that the call was sent to has answered that
-//! it does not lead; what has left this instance unanswered ends as unknown.
+//! Every call is idempotent, so one without a timely answer is sent again, to another
+//! control instance if necessary. A caller learns that its call was not run from the
+//! leader, or if every control instance that the call was sent to has answered that it does
+//! not lead. A call that was sent and not answered ends as unknown.
 
 use std::collections::BTreeMap;
 
 use super::{Answer, Call};
 use crate::model::EntryName;
 
-/// Silence after which a call is sent again elsewhere. Several round trips and
-/// syncs of a healthy leader (about 10 ms), and below the second after which
-/// callers themselves try elsewhere.
-const RESEND_MS: u64 = 500;
-/// First pause before an instance that knows no leader is asked again; it doubles up to
-/// [`NO_LEADER_MAX_MS`].
-const NO_LEADER_MS: u64 = 100;
-/// Longest such pause. A leader that is elected makes itself known anyway.
-const NO_LEADER_MAX_MS: u64 = 800;
-/// Calls that are sent in a pause while no leader is known. All others wait for what these
-/// find. If all that wait at all entry instances were sent again and again, those that are
-/// about to elect a leader would be busy with saying that they are none.
-const PROBES_MAX: usize = 2;
+/// Time without an answer after which a call is sent again elsewhere. It is longer than
+/// several round trips and disk syncs of a healthy leader (about 10 ms), and shorter than
+/// the second after which callers themselves try another instance.
+const RESEND_TIMEOUT_MS: u64 = 500;
+/// Delay before an instance that knew no leader is asked again. The interval between probes
+/// starts here and doubles up to [`MAX_PROBE_INTERVAL_MS`].
+const MIN_PROBE_INTERVAL_MS: u64 = 100;
+/// Longest interval between probes. A newly elected leader announces itself anyway.
+const MAX_PROBE_INTERVAL_MS: u64 = 800;
+/// Number of calls that are sent in an interval while no leader is known. All other calls
+/// wait for the result of these. If all entry instances sent all waiting calls repeatedly,
+/// the instances that are about to elect a leader would be busy answering that they do not
+/// lead.
+const MAX_PROBES_PER_INTERVAL: usize = 2;
 
-/// What a relay wants done.
+/// An action that a relay requests from its owner.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RelayStep {
+pub enum RelayAction {
     /// Send the call to a control instance.
     Send {
-        /// Which.
+        /// The receiver.
         to: EntryName,
-        /// Names the call.
+        /// The id of the call.
         id: u64,
         /// The call.
         call: Call,
     },
     /// Answer the caller.
     Answer {
-        /// Names the call.
+        /// The id of the call.
         id: u64,
         /// The answer.
         answer: Answer,
     },
 }
 
-/// The calls that wait for the leader.
+/// The calls that await an answer of the leader.
 #[derive(Debug, Default)]
 pub struct Relay {
     members: Vec<EntryName>,
     leader: Option<EntryName>,
-    open: BTreeMap<u64, Open>,
-    turn: usize,
-    /// The control instance that others named as the leader last and that answered that it
-    /// is none, and until when it is not believed to lead.
-    denied: Option<(EntryName, u64)>,
-    /// Calls that may still be sent without a leader, and until when.
+    open: BTreeMap<u64, OpenCall>,
+    next_member: usize,
+    /// The control instance that was named as the leader most recently and answered that it
+    /// does not lead, with the time until which it is not believed to lead.
+    recent_non_leader: Option<(EntryName, u64)>,
+    /// Calls that may still be sent in the current probe interval, and the end of that
+    /// interval.
     probes_left: usize,
-    probes_until_ms: u64,
-    /// The pause between probes.
-    probes_pause_ms: u64,
+    probe_interval_end_ms: u64,
+    /// The current interval between probes.
+    probe_interval_ms: u64,
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenCall {
     call: Call,
-    came_ms: u64,
+    arrived_ms: u64,
     give_up_ms: u64,
-    next_ms: u64,
-    /// Where it was sent last.
+    next_send_ms: u64,
+    /// The instance that it was last sent to.
     sent_to: Option<EntryName>,
-    /// How often it was sent without an answer so far.
+    /// Number of times that it was sent and not answered.
     unanswered: usize,
-    /// A leader took it and did not tell what became of it.
-    taken: bool,
+    /// Whether a leader accepted it and then lost its leadership without a result.
+    accepted_by_leader: bool,
 }
 
-impl Open {
-    /// A call that nobody took certainly has no effect; any other may have one.
-    fn given_up(&self) -> Answer {
-        if self.taken || self.unanswered > 0 {
+impl OpenCall {
+    /// Returns the answer to a call whose time is over. A call that no leader can have
+    /// accepted has no effect; any other call may have one.
+    fn timeout_answer(&self) -> Answer {
+        if self.accepted_by_leader || self.unanswered > 0 {
             return Answer::Unknown;
         }
         Answer::Refused(super::Refusal::Busy {
-            retry_after_ms: RESEND_MS,
+            retry_after_ms: RESEND_TIMEOUT_MS,
         })
     }
 }
 
 impl Relay {
-    /// The control instances that calls may be sent to.
+    /// Sets the control instances that calls may be sent to.
     pub fn set_members(&mut self, members: Vec<EntryName>) {
         self.members = members;
     }
 
-    /// The control instances that are known.
+    /// Returns the known control instances.
     pub fn members(&self) -> &[EntryName] {
         &self.members
     }
 
-    /// The leader that is known; calls that wait are sent to it at once.
-    pub fn set_leader(&mut self, now_ms: u64, leader: Option<EntryName>) -> Vec<RelayStep> {
+    /// Sets the known leader. Waiting calls are sent to it at once.
+    pub fn set_leader(&mut self, now_ms: u64, leader: Option<EntryName>) -> Vec<RelayAction> {
         if self.leader == leader {
             return Vec::new();
         }
@@ -108,169 +111,178 @@
         if self.leader.is_none() {
             return Vec::new();
         }
-        self.probes_pause_ms = 0;
+        self.probe_interval_ms = 0;
         for open in self.open.values_mut() {
-            open.next_ms = now_ms;
+            open.next_send_ms = now_ms;
         }
         self.tick(now_ms)
     }
 
-    /// The leader that is known.
+    /// Returns the known leader.
     pub fn leader(&self) -> Option<&EntryName> {
         self.leader.as_ref()
     }
 
-    /// How many calls wait.
+    /// Returns the number of calls that await an answer.
     pub fn waiting(&self) -> usize {
         self.open.len()
     }
 
-    /// Takes a call, to be given up at `give_up_ms`.
-    pub fn open(&mut self, now_ms: u64, id: u64, call: Call, give_up_ms: u64) -> Vec<RelayStep> {
-        let open = Open {
+    /// Adds a call, to be given up at `give_up_ms`.
+    pub fn open(&mut self, now_ms: u64, id: u64, call: Call, give_up_ms: u64) -> Vec<RelayAction> {
+        let open = OpenCall {
             call,
-            came_ms: now_ms,
+            arrived_ms: now_ms,
             give_up_ms,
-            next_ms: now_ms,
+            next_send_ms: now_ms,
             sent_to: None,
             unanswered: 0,
-            taken: false,
+            accepted_by_leader: false,
         };
         self.open.insert(id, open);
-        if self.leader.is_none() && !self.may_probe(now_ms) {
+        if self.leader.is_none() && !self.take_probe(now_ms) {
             return Vec::new();
         }
         self.send(now_ms, id).into_iter().collect()
     }
 
-    /// Takes an answer from a control instance.
-    pub fn answered(&mut self, now_ms: u64, id: u64, answer: Answer) -> Vec<RelayStep> {
+    /// Handles an answer from a control instance.
+    pub fn handle_answer(&mut self, now_ms: u64, id: u64, answer: Answer) -> Vec<RelayAction> {
         let Some(open) = self.open.get_mut(&id) else {
             return Vec::new();
         };
         let leader = match answer {
             Answer::NotLeader { leader } => leader,
             Answer::LeadLost => {
-                open.taken = true;
+                open.accepted_by_leader = true;
                 None
             }
             answer => {
                 self.open.remove(&id);
-                return vec![RelayStep::Answer { id, answer }];
+                return vec![RelayAction::Answer { id, answer }];
             }
         };
         open.unanswered = open.unanswered.saturating_sub(1);
         if open.sent_to.is_some() && open.sent_to == self.leader {
-            let denied = self.leader.take();
-            self.denied = denied.map(|name| (name, now_ms + NO_LEADER_MS));
+            let recent_non_leader = self.leader.take();
+            self.recent_non_leader =
+                recent_non_leader.map(|name| (name, now_ms + MIN_PROBE_INTERVAL_MS));
         }
-        let leader = leader.filter(|name| !self.is_denied(now_ms, name));
-        let news = leader.is_some() && leader != self.leader;
+        let leader = leader.filter(|name| !self.is_recent_non_leader(now_ms, name));
+        let names_new_leader = leader.is_some() && leader != self.leader;
         if let Some(open) = self.open.get_mut(&id) {
-            open.next_ms = if news { now_ms } else { now_ms + NO_LEADER_MS };
+            open.next_send_ms = if names_new_leader {
+                now_ms
+            } else {
+                now_ms + MIN_PROBE_INTERVAL_MS
+            };
         }
         self.leader = leader;
-        // Without news nothing else is due: a look at all calls for each of them would cost
-        // a multiple of what their number does.
-        match news {
+        // Without a new leader no other call is due. Scanning all calls for each answer
+        // would make the cost quadratic in their number.
+        match names_new_leader {
             true => self.tick(now_ms),
             false => Vec::new(),
         }
     }
 
-    /// Whether it answered a moment ago that it does not lead.
+    /// Returns whether an instance answered a moment ago that it does not lead.
     ///
-    /// One that is elected and has not begun, or has just lost its lead, is still named by the
-    /// others. If all calls that wait went to it each time that it is named, and back, every
-    /// round trip, those that are about to elect a leader would be busy with nothing else.
-    pub(super) fn is_denied(&self, now_ms: u64, name: &EntryName) -> bool {
-        let denied = self.denied.as_ref();
-        denied.is_some_and(|(denied, until_ms)| denied == name && now_ms < *until_ms)
+    /// An instance that is elected and has not begun its leadership, or that has just lost
+    /// it, is still named as the leader by others. If all waiting calls were sent to it
+    /// each time, they would go back and forth in every round trip and occupy the instances
+    /// that are about to elect a leader.
+    pub(super) fn is_recent_non_leader(&self, now_ms: u64, name: &EntryName) -> bool {
+        let recent_non_leader = self.recent_non_leader.as_ref();
+        recent_non_leader
+            .is_some_and(|(non_leader, until_ms)| non_leader == name && now_ms < *until_ms)
     }
 
-    /// All calls that wait, for an instance that leads by now.
+    /// Takes all waiting calls, for an instance that has become the leader.
     pub fn take_all(&mut self) -> Vec<(u64, Call)> {
         let open = std::mem::take(&mut self.open);
         open.into_iter().map(|(id, open)| (id, open.call)).collect()
     }
 
-    /// Gives up the calls that came before, as nobody can answer them from here: their
-    /// callers reach another instance sooner.
-    pub fn give_up_from_before(&mut self, now_ms: u64, before_ms: u64) {
+    /// Gives up the calls that arrived before `arrived_before_ms`, because they cannot be
+    /// answered from here. Their callers then try another instance sooner.
+    pub fn give_up_older_than(&mut self, now_ms: u64, arrived_before_ms: u64) {
         for open in self.open.values_mut() {
-            if open.came_ms < before_ms {
+            if open.arrived_ms < arrived_before_ms {
                 open.give_up_ms = now_ms;
             }
         }
     }
 
-    /// Sends what is due and gives up what is over.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<RelayStep> {
-        let mut steps = Vec::new();
-        let over: Vec<u64> = self
+    /// Sends the calls that are due and gives up those whose time is over.
+    pub fn tick(&mut self, now_ms: u64) -> Vec<RelayAction> {
+        let mut actions = Vec::new();
+        let expired: Vec<u64> = self
             .open
             .iter()
             .filter(|(_, open)| now_ms >= open.give_up_ms)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             if let Some(open) = self.open.remove(&id) {
-                let answer = open.given_up();
-                steps.push(RelayStep::Answer { id, answer });
+                let answer = open.timeout_answer();
+                actions.push(RelayAction::Answer { id, answer });
             }
         }
         let due: Vec<u64> = self
             .open
             .iter()
-            .filter(|(_, open)| now_ms >= open.next_ms)
+            .filter(|(_, open)| now_ms >= open.next_send_ms)
             .map(|(id, _)| *id)
             .collect();
         for id in due {
-            if self.leader.is_none() && !self.may_probe(now_ms) {
+            if self.leader.is_none() && !self.take_probe(now_ms) {
                 break;
             }
-            steps.extend(self.send(now_ms, id));
+            actions.extend(self.send(now_ms, id));
         }
-        steps
+        actions
     }
 
-    /// Whether one more call may be sent though no leader is known.
-    fn may_probe(&mut self, now_ms: u64) -> bool {
-        if now_ms >= self.probes_until_ms {
-            let pause_ms = (2 * self.probes_pause_ms).clamp(NO_LEADER_MS, NO_LEADER_MAX_MS);
-            self.probes_pause_ms = pause_ms;
-            self.probes_until_ms = now_ms + pause_ms;
-            self.probes_left = PROBES_MAX;
+    /// Returns whether one more call may be sent while no leader is known, and counts it.
+    fn take_probe(&mut self, now_ms: u64) -> bool {
+        if now_ms >= self.probe_interval_end_ms {
+            let pause_ms =
+                (2 * self.probe_interval_ms).clamp(MIN_PROBE_INTERVAL_MS, MAX_PROBE_INTERVAL_MS);
+            self.probe_interval_ms = pause_ms;
+            self.probe_interval_end_ms = now_ms + pause_ms;
+            self.probes_left = MAX_PROBES_PER_INTERVAL;
         }
         let may = self.probes_left > 0;
         self.probes_left = self.probes_left.saturating_sub(1);
         may
     }
 
-    fn send(&mut self, now_ms: u64, id: u64) -> Option<RelayStep> {
+    fn send(&mut self, now_ms: u64, id: u64) -> Option<RelayAction> {
         let open = self.open.get(&id)?;
-        if open.unanswered > 0 && now_ms >= open.next_ms + RESEND_MS {
+        if open.unanswered > 0 && now_ms >= open.next_send_ms + RESEND_TIMEOUT_MS {
             self.leader = None;
         }
         let to = self.target()?;
         let open = self.open.get_mut(&id)?;
         open.sent_to = Some(to.clone());
         open.unanswered += 1;
-        open.next_ms = now_ms + RESEND_MS;
-        Some(RelayStep::Send {
+        open.next_send_ms = now_ms + RESEND_TIMEOUT_MS;
+        Some(RelayAction::Send {
             to,
             id,
             call: open.call.clone(),
         })
     }
 
-    /// The leader, else the control instances in turn.
+    /// Returns the leader if it is known, otherwise the next control instance in
+    /// round-robin order.
     fn target(&mut self) -> Option<EntryName> {
         if let Some(leader) = &self.leader {
             return Some(leader.clone());
         }
-        self.turn = self.turn.wrapping_add(1);
-        let place = self.turn.checked_rem(self.members.len())?;
-        self.members.get(place).cloned()
+        self.next_member = self.next_member.wrapping_add(1);
+        let index = self.next_member.checked_rem(self.members.len())?;
+        self.members.get(index).cloned()
     }
 }
--- a/tests/control/loop_meter.rs
+++ b/tests/control/loop_meter.rs
@@ -2,9 +2,9 @@
 
 use rosemarygauge::control::{Event, EventKind, LoopMeter, Metrics, OrderOutcome};
 
-/// Everything is late while the mean use of the processor looks harmless: an on-call
-/// engineer has to see from the metrics alone what the loop was busy with, how many events
-/// waited and how late it came to them.
+/// When the loop is overloaded, everything is late while the mean processor use looks
+/// normal. The metrics alone must show an on-call engineer which events took the time, how
+/// many were queued and how late the loop was.
 #[test]
 fn a_loop_that_is_behind_shows_in_the_metrics() {
     let metrics = Metrics::default();
@@ -14,10 +14,10 @@
         id: 1,
         outcome: OrderOutcome::Unanswered,
     };
-    meter.handled(EventKind::from(&Event::Tick), Duration::from_millis(700));
-    meter.handled(EventKind::from(&unanswered), Duration::from_millis(2));
-    meter.waiting(81);
-    meter.late(Duration::from_millis(45));
+    meter.record_event(EventKind::from(&Event::Tick), Duration::from_millis(700));
+    meter.record_event(EventKind::from(&unanswered), Duration::from_millis(2));
+    meter.record_queue_length(81);
+    meter.record_lateness(Duration::from_millis(45));
     let busy = Duration::from_millis(940);
 
     meter.report(began + Duration::from_millis(900), busy, true, &metrics);
--- a/tests/control/relay.rs
+++ b/tests/control/relay.rs
@@ -1,7 +1,7 @@
-//! Calls on their way to the leader, and an entry instance's readiness.
+//! Forwarding of calls to the leader, and the readiness of an entry instance.
 
 use rosemarygauge::control::{
-    Answer, Call, Gateway, GatewayEffect, PeerMessage, Refusal, Relay, RelayStep,
+    Answer, Call, Gateway, GatewayEffect, PeerMessage, Refusal, Relay, RelayAction,
 };
 
 use crate::world::name;
@@ -12,10 +12,10 @@
     relay
 }
 
-fn targets(steps: &[RelayStep]) -> Vec<String> {
-    let sent = steps.iter().filter_map(|step| match step {
-        RelayStep::Send { to, .. } => Some(to.to_string()),
-        RelayStep::Answer { .. } => None,
+fn targets(actions: &[RelayAction]) -> Vec<String> {
+    let sent = actions.iter().filter_map(|action| match action {
+        RelayAction::Send { to, .. } => Some(to.to_string()),
+        RelayAction::Answer { .. } => None,
     });
     sent.collect()
 }
@@ -25,15 +25,15 @@
     let mut relay = relay();
     assert_eq!(relay.open(0, 1, Call::ReadConfiguration, 3_000).len(), 1);
     let leader = Some(name(3));
-    let steps = relay.answered(10, 1, Answer::NotLeader { leader });
-    assert_eq!(targets(&steps), ["10.0.0.3"]);
-    let steps = relay.answered(20, 1, Answer::Done);
+    let actions = relay.handle_answer(10, 1, Answer::NotLeader { leader });
+    assert_eq!(targets(&actions), ["10.0.0.3"]);
+    let actions = relay.handle_answer(20, 1, Answer::Done);
     let answer = Answer::Done;
-    assert_eq!(steps, [RelayStep::Answer { id: 1, answer }]);
+    assert_eq!(actions, [RelayAction::Answer { id: 1, answer }]);
 }
 
-/// The leader takes the call and falls silent: the call is sent again, elsewhere in
-/// the end, as every call may be carried out twice.
+/// The leader receives a call and does not answer. The call is sent again and eventually to
+/// other instances, because every call is idempotent.
 #[test]
 fn a_call_without_an_answer_is_sent_elsewhere() {
     let mut relay = relay();
@@ -49,22 +49,22 @@
     assert!(asked.len() >= 3, "{asked:?}");
 }
 
-/// A call that left may have an effect: its caller is not told that it has none.
+/// A call that was sent may have an effect, so its caller is not told that it has none.
 #[test]
 fn only_a_call_that_never_left_is_refused() {
     let mut sent = relay();
     sent.open(0, 1, Call::ReadConfiguration, 500);
-    let steps = sent.tick(600);
-    assert!(steps.contains(&RelayStep::Answer {
+    let actions = sent.tick(600);
+    assert!(actions.contains(&RelayAction::Answer {
         id: 1,
         answer: Answer::Unknown
     }));
-    let mut alone = Relay::default();
-    alone.open(0, 2, Call::ReadConfiguration, 500);
-    let refused = alone.tick(600).into_iter().any(|step| {
+    let mut unsent = Relay::default();
+    unsent.open(0, 2, Call::ReadConfiguration, 500);
+    let refused = unsent.tick(600).into_iter().any(|action| {
         matches!(
-            step,
-            RelayStep::Answer {
+            action,
+            RelayAction::Answer {
                 answer: Answer::Refused(Refusal::Busy { .. }),
                 ..
             }
@@ -84,7 +84,7 @@
         term: 1,
         members: (1..=3).map(name).collect(),
     };
-    // Hearsay is no sign of life of the leader.
+    // Only the leader's own answer shows that the leader is reachable.
     gateway.message(10, &name(2), welcome(1));
     assert!(!gateway.is_ready(20));
     gateway.message(30, &name(1), welcome(1));
@@ -94,8 +94,8 @@
     assert!(matches!(effects[0], GatewayEffect::Send { .. }));
 }
 
-/// A zone is cut off: a call that waits at its entry instance is given up once the
-/// leader was not heard for a second, so that its caller goes elsewhere in time.
+/// A zone is cut off. A call that waits at its entry instance is given up once the leader
+/// was not heard for a second, so that its caller can try another instance in time.
 #[test]
 fn a_call_at_an_instance_that_is_cut_off_is_given_up_early() {
     let mut gateway = Gateway::new((1..=3).map(name).collect(), 0);
@@ -118,31 +118,32 @@
     );
 }
 
-/// No instance leads for two seconds while hundreds of calls wait. Each was sent anew every
-/// tenth of a second, to an instance that could only say that it does not lead: thousands of
-/// messages a second for those that are about to elect one, and a walk of all calls for each.
+/// Guards against a flood of messages during an election. No instance leads for two seconds
+/// while hundreds of calls wait. Each was sent every 100 ms to an instance that could only
+/// answer that it does not lead. That was thousands of messages a second for the instances
+/// that are about to elect a leader, and a scan of all calls for each message.
 #[test]
 fn calls_that_wait_for_a_leader_are_not_all_sent_again_and_again() {
     const CALLS: u64 = 1_000;
     let mut relay = relay();
     let mut sent = 0;
-    let mut steps = Vec::new();
+    let mut actions = Vec::new();
     for id in 0..CALLS {
-        steps.extend(relay.open(0, id, Call::ReadConfiguration, 9_000));
+        actions.extend(relay.open(0, id, Call::ReadConfiguration, 9_000));
     }
     for now_ms in (0..2_000).step_by(10) {
-        let asked: Vec<u64> = steps.drain(..).filter_map(sent_id).collect();
+        let asked: Vec<u64> = actions.drain(..).filter_map(sent_id).collect();
         sent += asked.len();
         for id in asked {
             let answer = Answer::NotLeader { leader: None };
-            steps.extend(relay.answered(now_ms, id, answer));
+            actions.extend(relay.handle_answer(now_ms, id, answer));
         }
-        steps.extend(relay.tick(now_ms));
+        actions.extend(relay.tick(now_ms));
     }
     assert!(sent <= 2 * CALLS as usize, "{sent} messages");
     relay.tick(2_000);
-    let steps = relay.set_leader(2_000, Some(name(2)));
-    let to_leader = steps.into_iter().filter_map(sent_id);
+    let actions = relay.set_leader(2_000, Some(name(2)));
+    let to_leader = actions.into_iter().filter_map(sent_id);
     let asked: std::collections::BTreeSet<u64> = to_leader.collect();
     assert!(
         asked.len() >= CALLS as usize / 2,
@@ -151,93 +152,93 @@
     );
 }
 
-fn sent_id(step: RelayStep) -> Option<u64> {
-    match step {
-        RelayStep::Send { id, .. } => Some(id),
-        RelayStep::Answer { .. } => None,
+fn sent_id(action: RelayAction) -> Option<u64> {
+    match action {
+        RelayAction::Send { id, .. } => Some(id),
+        RelayAction::Answer { .. } => None,
     }
 }
 
-/// Pattern: an instance is elected and takes a second to begin, or has just lost its lead, while
-/// the others name it; 150 entry instances have calls that wait.
-/// Guards against: all calls go to it and back, every round trip.
+/// An instance that is elected takes a second to begin its leadership, or has just lost it,
+/// while the others name it as the leader and calls wait at 150 entry instances. Guards
+/// against sending all calls to it and back in every round trip.
 #[test]
 fn calls_do_not_go_round_while_a_leader_is_named_that_does_not_lead() {
     const CALLS: u64 = 10;
     let mut relay = relay();
     let mut sent = 0;
-    let mut flying = Vec::new();
+    let mut in_flight = Vec::new();
     for id in 0..CALLS {
-        flying.extend(relay.open(0, id, Call::ReadConfiguration, 9_000));
+        in_flight.extend(relay.open(0, id, Call::ReadConfiguration, 9_000));
     }
     for now_ms in (0..1_000).step_by(2) {
-        for step in std::mem::take(&mut flying) {
-            let RelayStep::Send { to, id, .. } = step else {
+        for action in std::mem::take(&mut in_flight) {
+            let RelayAction::Send { to, id, .. } = action else {
                 continue;
             };
             sent += 1;
             let leader = (to != name(1)).then(|| name(1));
-            flying.extend(relay.answered(now_ms, id, Answer::NotLeader { leader }));
+            in_flight.extend(relay.handle_answer(now_ms, id, Answer::NotLeader { leader }));
         }
-        flying.extend(relay.tick(now_ms));
+        in_flight.extend(relay.tick(now_ms));
     }
     assert!(sent <= 20 * CALLS, "{sent} messages in a second");
-    let steps = relay.set_leader(1_000, Some(name(1)));
-    assert_eq!(targets(&steps).len(), CALLS as usize, "when it begins");
+    let actions = relay.set_leader(1_000, Some(name(1)));
+    assert_eq!(targets(&actions).len(), CALLS as usize, "when it begins");
 }
 
-fn answers(steps: &[RelayStep]) -> Vec<&Answer> {
-    let answers = steps.iter().filter_map(|step| match step {
-        RelayStep::Answer { answer, .. } => Some(answer),
-        RelayStep::Send { .. } => None,
+fn answers(actions: &[RelayAction]) -> Vec<&Answer> {
+    let answers = actions.iter().filter_map(|action| match action {
+        RelayAction::Answer { answer, .. } => Some(answer),
+        RelayAction::Send { .. } => None,
     });
     answers.collect()
 }
 
-/// Guards against: callers that may not try again, though nobody took their call.
+/// Guards against callers that may not retry, although no leader accepted their call.
 #[test]
 fn a_call_that_nobody_took_is_refused_as_not_run() {
     let mut relay = relay();
     relay.open(0, 1, Call::ReadConfiguration, 2_000);
     let no_leader = Answer::NotLeader { leader: None };
-    relay.answered(10, 1, no_leader.clone());
+    relay.handle_answer(10, 1, no_leader.clone());
     for now_ms in (20..2_000).step_by(20) {
         for id in relay.tick(now_ms).into_iter().filter_map(sent_id) {
-            relay.answered(now_ms, id, no_leader.clone());
+            relay.handle_answer(now_ms, id, no_leader.clone());
         }
     }
-    let steps = relay.tick(2_000);
-    let refused = answers(&steps);
+    let actions = relay.tick(2_000);
+    let refused = answers(&actions);
     assert!(
         matches!(refused[..], [Answer::Refused(Refusal::Busy { .. })]),
         "{refused:?}"
     );
 }
 
-/// Guards against: a refusal of a call that a leader took before it lost its lead, or that
-/// one control instance never answered: it may be carried out.
+/// Guards against the refusal of a call that may still be carried out: a leader accepted it
+/// before it lost its leadership, or one control instance never answered it.
 #[test]
 fn a_call_that_somebody_may_have_taken_is_not_refused() {
     let lost = |relay: &mut Relay| {
-        relay.answered(10, 1, Answer::LeadLost);
-        relay.answered(120, 1, Answer::NotLeader { leader: None });
+        relay.handle_answer(10, 1, Answer::LeadLost);
+        relay.handle_answer(120, 1, Answer::NotLeader { leader: None });
     };
     let unanswered = |relay: &mut Relay| {
         assert_eq!(targets(&relay.tick(600)).len(), 1, "it is sent again");
-        relay.answered(610, 1, Answer::NotLeader { leader: None });
+        relay.handle_answer(610, 1, Answer::NotLeader { leader: None });
     };
-    let ways: [fn(&mut Relay); 2] = [lost, unanswered];
-    for way in ways {
+    let cases: [fn(&mut Relay); 2] = [lost, unanswered];
+    for case in cases {
         let mut relay = relay();
         relay.open(0, 1, Call::ReadConfiguration, 1_000);
-        way(&mut relay);
-        let steps = relay.tick(1_000);
-        assert_eq!(answers(&steps), [&Answer::Unknown]);
+        case(&mut relay);
+        let actions = relay.tick(1_000);
+        assert_eq!(answers(&actions), [&Answer::Unknown]);
     }
 }
 
-/// Guards against: calls that wait at an entry instance until it finds out by itself that its
-/// leader is gone, though another control instance knows the next one.
+/// Guards against calls that wait until their entry instance itself notices that the leader
+/// is gone, although another control instance knows the next leader.
 #[test]
 fn the_leader_of_a_newer_term_gets_the_waiting_calls_at_once() {
     let mut gateway = Gateway::new((1..=3).map(name).collect(), 0);
@@ -258,8 +259,8 @@
     assert!(moved, "{effects:?}");
 }
 
-/// Pattern: 150 entry instances that greet every control instance several times a second.
-/// Guards against: links and messages that grow with the product of both.
+/// With 150 entry instances that send hellos to every control instance several times a
+/// second, links and messages grow with the product of both numbers. Guards against that.
 #[test]
 fn an_entry_instance_greets_the_leader_and_one_more() {
     let mut gateway = Gateway::new((1..=8).map(name).collect(), 3);
