--- a/tests/control/addresses.rs
+++ b/tests/control/addresses.rs
@@ -1,4 +1,4 @@
-//! Who takes orders at which address.
+//! The lookup of workers by their address.
 
 use std::sync::Arc;
 
@@ -9,14 +9,15 @@
 use crate::worker::Worker;
 use crate::world::address;
 
-/// Workers report from addresses that change, end, and come back, and the instance goes
-/// on from snapshots in between. A leader asks at once who was at the address of a worker
-/// that reports: one that is missed keeps its tasks until its lease has run out, one that
-/// is not there any more is asked for nothing. A walk of all workers finds the same.
+/// Workers report from changing addresses, end and return, and the instance restores
+/// snapshots in between. When a worker reports, the leader at once asks the previous
+/// workers at its address. If one of them is missed, its tasks stay assigned until its
+/// lease expires; one that has left must not be asked. The index must match a scan of all
+/// workers.
 #[quickcheck]
-fn workers_are_found_at_the_address_of_their_latest_report(happenings: Vec<(u8, u8)>) {
+fn workers_are_found_at_the_address_of_their_latest_report(events: Vec<(u8, u8)>) {
     let mut state = State::default();
-    for (at_unix_ms, (kind, place)) in (1..).zip(happenings) {
+    for (at_unix_ms, (kind, place)) in (1..).zip(events) {
         let name = format!("i-{}", place % 6);
         let change = match kind % 8 {
             0 => {
@@ -41,11 +42,11 @@
             changes: vec![change],
         });
         for port in 0..8 {
-            let walked = state.workers().iter();
-            let walked = walked.filter(|(_, w)| w.report.address == address(port));
-            let walked: Vec<&InstanceName> = walked.map(|(name, _)| name).collect();
+            let scanned = state.workers().iter();
+            let scanned = scanned.filter(|(_, w)| w.report.address == address(port));
+            let scanned: Vec<&InstanceName> = scanned.map(|(name, _)| name).collect();
             let found: Vec<&InstanceName> = state.workers_at(address(port)).collect();
-            assert_eq!(found, walked, "at {port}");
+            assert_eq!(found, scanned, "at {port}");
         }
     }
 }
--- a/tests/control/calls.rs
+++ b/tests/control/calls.rs
@@ -1,4 +1,4 @@
-//! What the leader answers to callers, workers and operators.
+//! The leader's answers to callers, workers and operators.
 
 use std::sync::Arc;
 
@@ -39,8 +39,8 @@
     assert!(first_second.unwrap() >= last_first.unwrap() + 300);
 }
 
-/// The caller sees its first answer lost and sends the same job again, to another
-/// instance; both are accepted, and the job runs once.
+/// A caller loses the first answer and sends the same job again, to another instance. Both
+/// calls are accepted and the job runs once.
 #[test]
 fn a_job_that_is_handed_in_again_runs_once() {
     let mut world = World::new(2, 3, 3);
@@ -131,8 +131,8 @@
     ));
 }
 
-/// Two operators send different content under one version: the first that is
-/// accepted stays, and is what every instance reads back.
+/// Two operators send different content under one version. The content that was accepted
+/// first stays and is what every instance returns.
 #[test]
 fn other_content_under_the_version_held_changes_nothing() {
     let mut world = World::new(6, 1, 1);
@@ -159,8 +159,8 @@
     assert_eq!(conf.queue_at("x.example", "/quick/"), None);
 }
 
-/// A worker's report is held up and comes after a newer one that said that it drains:
-/// the worker must not be given work again.
+/// A delayed report of a worker arrives after a newer one that said that it drains. The
+/// worker must not be assigned work again.
 #[test]
 fn a_late_report_does_not_take_back_that_a_worker_drains() {
     let mut world = World::new(7, 2, 1);
@@ -191,10 +191,10 @@
     }
 }
 
-/// Two operators send configurations of hundreds of queues within a few milliseconds,
-/// among other calls. All of it gathered into one command of the log, which was larger
-/// than the log takes and was dropped without a word; the leader waited for it for good
-/// and nothing was accepted or started any more.
+/// Guards against a command that exceeds the limit of the log. Operators send
+/// configurations of hundreds of queues within a few milliseconds, among other calls. All
+/// of them were collected into one command that was too large. The log dropped it silently,
+/// the leader waited for it forever, and nothing was accepted or started any more.
 #[test]
 fn large_configurations_at_once_do_not_stop_the_log() {
     let mut world = World::new(44, 4, 4);
@@ -215,9 +215,9 @@
     assert_eq!(world.look(place, "quick", 1), Some(JobState::Completed));
 }
 
-/// A configuration of some 1,400 queues is larger than a command of the log takes. It was
-/// refused as too large, though nothing in it is wrong. It travels in parts: whatever
-/// happens on the way, it is in force whole and word for word, or its operator gets no
+/// Guards against the refusal of a valid configuration because of its size. One of about
+/// 1,400 queues exceeds the limit of a log command, so it is replicated in parts. Whatever
+/// happens in between, it comes into force complete and unchanged, or its operator gets no
 /// acknowledgement and sends it again.
 #[test]
 fn a_configuration_larger_than_a_command_is_in_force_whole() {
@@ -252,8 +252,8 @@
     }
 }
 
-/// A leader is lost with some parts of a configuration in the log; a later configuration
-/// must not be mixed up with them, and no instance may hold what was never whole.
+/// A leader is lost when the log has some parts of a configuration. These must not be mixed
+/// with the parts of a later configuration, and no instance may hold an incomplete one.
 #[test]
 fn parts_of_a_lost_configuration_are_in_no_later_one() {
     let large = Configuration {
@@ -276,8 +276,8 @@
     }
 }
 
-/// A job whose description is larger than the log takes is refused with a reason; it
-/// must not be accepted and never stored.
+/// A job whose description exceeds the limit of the log is refused with a reason. It must
+/// not be accepted and then never be stored.
 #[test]
 fn a_job_too_large_for_the_log_is_refused() {
     let mut world = World::new(45, 4, 4);
--- a/tests/control/driver.rs
+++ b/tests/control/driver.rs
@@ -1,4 +1,4 @@
-//! The loop that feeds events to the decisions, beside what else its thread has to do.
+//! The event loop and the other work of its thread.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,23 +16,23 @@
 
 use crate::world::TIMING;
 
-/// What one message costs to send.
-const SEND: Duration = Duration::from_millis(1);
+/// Time that it takes to send one message.
+const SEND_DURATION: Duration = Duration::from_millis(1);
 
-/// Links that take long, and count.
+/// Links that are slow to send and count their messages.
 struct SlowLinks(Rc<Cell<usize>>);
 
 impl Links for SlowLinks {
     fn send(&self, _to: &EntryName, _message: &PeerMessage) {
-        std::thread::sleep(SEND);
+        std::thread::sleep(SEND_DURATION);
         self.0.set(self.0.get() + 1);
     }
 }
 
-/// Nothing outside of the system.
-struct Nothing;
+/// External systems that are all unreachable.
+struct UnreachableSystems;
 
-impl Outside for Nothing {
+impl Outside for UnreachableSystems {
     fn order(&self, _order: Order) -> Local<OrderOutcome> {
         Box::pin(async { OrderOutcome::Unanswered })
     }
@@ -70,22 +70,22 @@
     Node::new(settings, Recovered::default(), 0, steady_ms())
 }
 
-/// Workers that are well count as silent, and links to peers that are well as dead.
-/// Hundreds of events wait at once, and each takes the loop a while; as long as it finds
-/// more of them it does not let its thread look at sockets and timers. It has to, every
-/// few milliseconds, while there is still much to handle.
+/// Guards against an event loop that starves sockets and timers. Hundreds of events are
+/// queued and each takes a while to handle. A loop that handled them all before it yielded
+/// made healthy workers look silent and links to healthy peers look dead. It must yield
+/// every few milliseconds while there is still much to handle.
 #[test]
 fn a_loop_with_much_to_handle_lets_sockets_and_timers_be_looked_at() {
-    const GREETINGS: usize = 600;
+    const HELLOS: usize = 600;
     let sent = Rc::new(Cell::new(0));
     let (desk, calls) = Desk::new(1);
     let (signals, signalled) = unbounded_channel();
-    let greeting = || {
+    let hello_signal = || {
         let hello = PeerMessage::Hello { has_folder: true };
         Signal::Peer("127.0.0.1:7002".into(), hello)
     };
-    for _ in 0..GREETINGS {
-        signals.send(greeting()).unwrap();
+    for _ in 0..HELLOS {
+        signals.send(hello_signal()).unwrap();
     }
     let driver = Driver::new(desk, calls, signalled, SlowLinks(Rc::clone(&sent)));
     let (disk, _jobs) = std::sync::mpsc::channel();
@@ -93,21 +93,26 @@
         .enable_all()
         .build()
         .unwrap();
-    let turns = LocalSet::new().block_on(&runtime, async {
+    let yields = LocalSet::new().block_on(&runtime, async {
         let node = node("127.0.0.1:7001");
-        let running = driver.run_control(node, disk, Rc::new(Nothing), WallClock::default());
+        let running = driver.run_control(
+            node,
+            disk,
+            Rc::new(UnreachableSystems),
+            WallClock::default(),
+        );
         let others = async {
-            let mut turns = 0;
-            while sent.get() < GREETINGS {
+            let mut yields = 0;
+            while sent.get() < HELLOS {
                 tokio::task::yield_now().await;
-                turns += 1;
+                yields += 1;
             }
-            turns
+            yields
         };
         tokio::select! {
             _ = running => panic!("the loop ended"),
-            turns = others => turns,
+            yields = others => yields,
         }
     });
-    assert!(turns >= GREETINGS / 10, "{turns} looks only");
+    assert!(yields >= HELLOS / 10, "only {yields} yields");
 }
--- a/tests/control/failures.rs
+++ b/tests/control/failures.rs
@@ -1,12 +1,12 @@
-//! Lost, cut-off, frozen and emptied control instances.
+//! Control instances that crash, are cut off, are paused or lose their disks.
 
 use rosemarygauge::control::{Answer, Call};
 use rosemarygauge::jobs::JobState;
 
 use crate::world::{World, job, lasting, name, step};
 
-/// The caller sees its job completed. The leader dies with the job's tasks running:
-/// the next leader finds them at the workers and starts none of them again.
+/// The leader crashes while a job's tasks run. The next leader finds them at the workers
+/// and starts none of them again, and the job completes.
 #[test]
 fn a_new_leader_finds_what_runs_and_starts_nothing_twice() {
     for mut world in World::both(11, 3, 3) {
@@ -26,8 +26,8 @@
     }
 }
 
-/// The caller is told that its job is accepted, then all instances lose power at
-/// once. Their disks come back, and so does the job.
+/// A caller is told that its job is accepted, then all instances lose power at once. After
+/// a restart from their disks the job is still there.
 #[test]
 fn what_was_acknowledged_survives_a_loss_of_power_of_all() {
     for mut world in World::both(12, 2, 2) {
@@ -45,7 +45,8 @@
     }
 }
 
-/// The leader loses its disk right after it acknowledged a job; the others hold it.
+/// The leader loses its disk right after it acknowledged a job. The other instances have
+/// the job.
 #[test]
 fn a_leader_that_loses_its_disk_loses_nothing() {
     for mut world in World::both(13, 2, 2) {
@@ -57,7 +58,7 @@
         world.wipe(&leader);
         world.run_ms(9_000);
         assert_eq!(world.look(1, "long", 6), Some(JobState::Completed));
-        // A second one can be lost once the first has caught up.
+        // A second instance can be lost once the first has caught up.
         let next = world.leader().unwrap();
         world.kill(&next);
         world.wipe(&next);
@@ -66,8 +67,8 @@
     }
 }
 
-/// An operator reads the configuration at a leader that is cut off from the others,
-/// which have a newer one by then: it must not answer with the old one.
+/// An operator reads the configuration at a leader that is cut off from the others, which
+/// already have a newer one. It must not answer with the old one.
 #[test]
 fn a_leader_that_is_cut_off_does_not_answer_reads() {
     for mut world in World::both(14, 2, 2) {
@@ -89,8 +90,8 @@
     }
 }
 
-/// The leader stands still for seconds while another leads and the configuration
-/// changes. It wakes with a read in its queue: time must pass for it first.
+/// The leader is paused for seconds while another leads and the configuration changes. It
+/// resumes with a read in its queue and must notice the elapsed time before it answers.
 #[test]
 fn a_leader_that_stood_still_does_not_answer_from_the_past() {
     for mut world in World::both(15, 2, 2) {
@@ -112,8 +113,8 @@
     }
 }
 
-/// The leader stands still right after a task's placement became durable. The next
-/// leader runs the task elsewhere; the old one wakes and sends its start late.
+/// The leader is paused right after a task's placement became durable. The next leader runs
+/// the task elsewhere. The old leader resumes and sends its start late.
 #[test]
 fn a_leader_that_wakes_starts_nothing_a_second_time() {
     for seed in 160..170 {
@@ -138,8 +139,8 @@
     }
 }
 
-/// A planned stop of the leader: another leads within a few round trips, and a job
-/// handed in meanwhile is accepted.
+/// After a planned stop of the leader another instance leads within a few round trips, and
+/// a job that is submitted meanwhile is accepted.
 #[test]
 fn a_planned_stop_hands_the_lead_over() {
     for mut world in World::both(17, 2, 2) {
@@ -151,8 +152,7 @@
     }
 }
 
-/// Lasting tasks run on while leaders change: a change of leader shorter than the
-/// lease costs no run.
+/// A change of leader that is shorter than the lease interrupts no long-running task.
 #[test]
 fn lasting_tasks_outlive_a_change_of_leader() {
     for mut world in World::both(18, 6, 1) {
@@ -168,10 +168,10 @@
     }
 }
 
-/// An instance stands still while its disk syncs a write, and goes on; after that another
-/// one loses its disk. The write ended meanwhile, and what tells of its end waits for the
-/// instance as everything does: without it the instance would hold back every vote and
-/// every answer to its leader for good, and nobody could lead any more.
+/// An instance is paused while its disk syncs a write, and another one loses its disk after
+/// the first has resumed. The completion of the write is queued for the paused instance
+/// like everything else. If it were lost, the instance would hold back every vote and every
+/// answer to its leader, and no leader could be elected any more.
 #[test]
 fn an_instance_that_stood_still_during_a_write_votes_again() {
     for leads in [true, false] {
--- a/tests/control/forgotten.rs
+++ b/tests/control/forgotten.rs
@@ -1,4 +1,4 @@
-//! Jobs that are accepted and could run, and are never looked at again.
+//! Guards against accepted jobs that could run and are never considered again.
 
 use std::sync::Arc;
 
@@ -8,15 +8,16 @@
 
 use crate::world::{World, address, configuration, job, lasting, name, step};
 
-/// Workers of a pool.
+/// Number of workers in a pool.
 const WORKERS: u16 = 5;
-/// From the end of all faults on until everything that can run has run: leases, rests of
-/// workers and repeated orders are over long before.
-const QUIET_MS: u64 = 30_000;
-/// Sequences that are tried; more by hand with `FORGOTTEN_TRIES`.
-const TRIES: u64 = 30;
-
-/// A job of a kind that a random number names; of some no worker can run any task.
+/// Time after the last fault in which everything that can run has run. Leases, cooldowns of
+/// workers and repeated orders take much less.
+const SETTLE_MS: u64 = 30_000;
+/// Number of random sequences, unless `FORGOTTEN_TRIES` sets another one.
+const DEFAULT_TRIES: u64 = 30;
+
+/// Returns a job of the kind that a random number selects. No worker can run any task of
+/// some kinds.
 fn spec_of(kind: u8) -> JobSpec {
     let second = Step {
         after: vec![0],
@@ -68,16 +69,17 @@
     heavy
 }
 
-/// A world with what was done to it.
-struct Story {
+/// A simulated world with a count of what was done to it.
+struct Scenario {
     world: World,
     jobs: u64,
     version: u64,
-    /// Lasting jobs: more would leave no room for the rest.
+    /// Number of long-running jobs. It is limited because they would leave no room for
+    /// others.
     lasting: u32,
 }
 
-impl Story {
+impl Scenario {
     fn new(seed: u64) -> Self {
         let world = match seed.is_multiple_of(2) {
             true => World::without_moves(seed, WORKERS, WORKERS - 1),
@@ -109,8 +111,8 @@
         self.world.submit(place, queue, self.jobs, spec);
     }
 
-    /// What one random number does.
-    fn happen(&mut self, random: u16) {
+    /// Applies the event that a random number selects.
+    fn apply_random_event(&mut self, random: u16) {
         let [what, which] = random.to_le_bytes();
         let port = 1_000 + u16::from(which) % WORKERS;
         let place = name(1 + usize::from(which) % 3);
@@ -144,7 +146,7 @@
         self.world.run_ms(5);
     }
 
-    /// The queues exchange their pools.
+    /// Sends a configuration in which the queues exchange their pools.
     fn reconfigure(&mut self) {
         self.version += 1;
         let mut changed = configuration(self.version);
@@ -155,17 +157,17 @@
         self.world.call(1, Call::Configure(Arc::new(changed)));
     }
 
-    /// All faults are over, and time passes.
-    fn settle(&mut self) {
+    /// Ends all faults and lets time pass.
+    fn end_faults(&mut self) {
         self.world.cut.clear();
         self.world.late_per_mille = 0;
-        self.world.run_ms(QUIET_MS);
+        self.world.run_ms(SETTLE_MS);
     }
 }
 
-/// The steps of which tasks wait though an idle pool could run them, found by a look at
-/// everything.
-fn forgotten(state: &State) -> Vec<(JobId, usize)> {
+/// Returns the steps with tasks that wait although an idle pool could run them, by a scan
+/// of the complete state.
+fn waiting_runnable_steps(state: &State) -> Vec<(JobId, usize)> {
     let mut steps = Vec::new();
     for job in state.active().filter(|job| job.verdict.is_none()) {
         for (_, occurrence) in job.occurrences() {
@@ -180,44 +182,47 @@
     steps
 }
 
-/// Whether the idle workers of a job's pool hold a step: the whole of a gang, else a task.
+/// Returns whether the idle workers of a job's pool have room for a step: for all tasks of
+/// a gang, otherwise for one task.
 fn could_run(state: &State, job: &Job, step: &Step) -> bool {
     let workers = state.workers().values();
-    let here = workers.filter(|w| w.takes_work() && w.report.pool == job.pool);
-    let places: u32 = here.map(|worker| places_on(worker, step)).sum();
-    places >= if step.gang { u32::from(step.tasks) } else { 1 }
+    let in_pool = workers.filter(|w| w.takes_work() && w.report.pool == job.pool);
+    let slots: u32 = in_pool.map(|worker| task_slots(worker, step)).sum();
+    slots >= if step.gang { u32::from(step.tasks) } else { 1 }
 }
 
-/// How many tasks of a step an idle worker holds, beside a core for each lasting job.
-fn places_on(worker: &Worker, step: &Step) -> u32 {
+/// Returns the number of tasks of a step that fit on an idle worker, less a core for each
+/// long-running job.
+fn task_slots(worker: &Worker, step: &Step) -> u32 {
     let labels = &worker.report.labels;
     if step.label.as_ref().is_some_and(|l| !labels.contains(l)) {
         return 0;
     }
     let cores = worker.report.capacity.cpu_milli.saturating_sub(2_000);
-    let most = step.per_worker_max.map_or(u32::MAX, u32::from);
-    (cores / step.demand.cpu_milli).min(most)
+    let per_worker_max = step.per_worker_max.map_or(u32::MAX, u32::from);
+    (cores / step.demand.cpu_milli).min(per_worker_max)
 }
 
-/// An accepted job is never run beside idle workers: what waits was not told of a change, or
-/// is passed over by every look. Whatever came, ended, was cancelled, moved to another pool or
-/// was lost, and whoever led, in the end nothing waits that an idle pool could run.
-fn nothing_that_can_run_waits(seed: u64, happens: Vec<u16>) -> TestResult {
-    let mut story = Story::new(seed);
-    for random in &happens {
-        story.happen(*random);
+/// Guards against an accepted job that never runs although workers are idle, because its
+/// scheduling entry missed a change or every pass skips it. Jobs arrive, end, are cancelled
+/// and move to other pools, and workers and leaders are lost. In the end nothing may wait
+/// that an idle pool could run.
+fn no_runnable_job_waits(seed: u64, events: Vec<u16>) -> TestResult {
+    let mut scenario = Scenario::new(seed);
+    for random in &events {
+        scenario.apply_random_event(*random);
     }
-    story.settle();
-    let leader = story.world.leader();
+    scenario.end_faults();
+    let leader = scenario.world.leader();
     let Some(leader) = leader else {
-        return TestResult::error(format!("seed {seed}: nobody leads: {happens:?}"));
+        return TestResult::error(format!("seed {seed}: nobody leads: {events:?}"));
     };
-    let answered = story.world.answers.values();
+    let answered = scenario.world.answers.values();
     let accepted = answered.filter(|a| **a == Answer::Done).count();
-    match forgotten(story.world.state(&leader)) {
+    match waiting_runnable_steps(scenario.world.state(&leader)) {
         steps if steps.is_empty() => TestResult::passed(),
         steps => TestResult::error(format!(
-            "seed {seed}: {steps:?} of {accepted} jobs wait beside idle workers: {happens:?}"
+            "seed {seed}: {steps:?} of {accepted} jobs wait beside idle workers: {events:?}"
         )),
     }
 }
@@ -225,8 +230,10 @@
 #[test]
 fn no_job_that_could_run_is_forgotten() {
     let tries = std::env::var("FORGOTTEN_TRIES").ok();
-    let tries = tries.and_then(|tries| tries.parse().ok()).unwrap_or(TRIES);
+    let tries = tries
+        .and_then(|tries| tries.parse().ok())
+        .unwrap_or(DEFAULT_TRIES);
     QuickCheck::new()
         .tests(tries)
-        .quickcheck(nothing_that_can_run_waits as fn(u64, Vec<u16>) -> TestResult);
+        .quickcheck(no_runnable_job_waits as fn(u64, Vec<u16>) -> TestResult);
 }
--- a/tests/control/lapsing.rs
+++ b/tests/control/lapsing.rs
@@ -1,4 +1,4 @@
-//! What the loss of workers does to the replicated jobs.
+//! The effect of lost workers on the replicated jobs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,9 +14,9 @@
 const JOBS: u8 = 6;
 const WORKERS: u8 = 4;
 
-/// What happens to one of the jobs or workers.
+/// A random event for one of the jobs or workers.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
+enum RandomEvent {
     Accept {
         job: u8,
     },
@@ -45,11 +45,11 @@
         worker: u8,
     },
     Forget,
-    /// The instance goes on from its snapshot.
+    /// The instance restores its state from its snapshot.
     Restore,
 }
 
-impl Arbitrary for Happening {
+impl Arbitrary for RandomEvent {
     fn arbitrary(g: &mut Gen) -> Self {
         let job = u8::arbitrary(g) % JOBS;
         let worker = u8::arbitrary(g) % WORKERS;
@@ -71,7 +71,7 @@
     }
 }
 
-/// Jobs of each kind: with steps, gangs and copies, lasting, recurring.
+/// Returns jobs of all kinds: with steps, gangs, copies, long-running and recurring.
 fn spec(place: u8) -> JobSpec {
     let second = Step {
         after: vec![0],
@@ -103,14 +103,15 @@
     }
 }
 
-/// The jobs by themselves: what lapses is looked for in each that is active.
+/// A reference model that has only the jobs. On the loss of a worker it scans all active
+/// jobs for runs on it.
 #[derive(Default)]
-struct Naive {
+struct ReferenceModel {
     jobs: BTreeMap<JobId, Job>,
     active: BTreeSet<JobId>,
 }
 
-impl Naive {
+impl ReferenceModel {
     fn apply(&mut self, now_ms: u64, change: &Change) {
         match change {
             Change::Accept { job, spec, .. } if !self.jobs.contains_key(job) => {
@@ -183,8 +184,8 @@
     InstanceName::from(format!("i-{place}"))
 }
 
-/// The run that a number picks: its task, attempt and worker.
-fn picked(state: &State, run: u8) -> Option<(TaskId, u32, InstanceName)> {
+/// Returns the run that a number selects: its task, attempt and worker.
+fn select_run(state: &State, run: u8) -> Option<(TaskId, u32, InstanceName)> {
     let runs = state.active().flat_map(Job::runs);
     let runs: Vec<_> = runs
         .map(|(task, run)| (task, run.attempt, run.worker.clone()))
@@ -193,8 +194,8 @@
     runs.into_iter().nth(place)
 }
 
-/// The place of a task among those of a job that are due.
-fn placement(state: &State, job: u8, task: u8, worker: InstanceName) -> Option<Change> {
+/// Returns the placement of a task that a number selects among the due ones of a job.
+fn select_placement(state: &State, job: u8, task: u8, worker: InstanceName) -> Option<Change> {
     let job = state.job(id(job))?;
     let due = job.occurrences().flat_map(|(occurrence, o)| {
         o.tasks().map(move |(step, index, task)| {
@@ -216,33 +217,33 @@
     })
 }
 
-fn change(state: &State, happening: Happening, now_ms: u64) -> Option<Change> {
-    Some(match happening {
-        Happening::Accept { job } => Change::Accept {
+fn change(state: &State, event: RandomEvent, now_ms: u64) -> Option<Change> {
+    Some(match event {
+        RandomEvent::Accept { job } => Change::Accept {
             job: id(job),
             queue: "quick".into(),
             spec: Arc::new(spec(job)),
         },
-        Happening::Cancel { job } => Change::Cancel { job: id(job) },
-        Happening::Due { job } => Change::Due {
+        RandomEvent::Cancel { job } => Change::Cancel { job: id(job) },
+        RandomEvent::Due { job } => Change::Due {
             job: id(job),
             occurrence: state.job(id(job))?.next_due()?.0,
         },
-        Happening::Place {
+        RandomEvent::Place {
             job,
             task,
             worker: place,
-        } => placement(state, job, task, worker(place))?,
-        Happening::Unplace { run } => {
-            let (task, attempt, worker) = picked(state, run)?;
+        } => select_placement(state, job, task, worker(place))?,
+        RandomEvent::Unplace { run } => {
+            let (task, attempt, worker) = select_run(state, run)?;
             Change::Unplace {
                 task,
                 attempt,
                 worker,
             }
         }
-        Happening::End { run, ending } => {
-            let (task, attempt, worker) = picked(state, run)?;
+        RandomEvent::End { run, ending } => {
+            let (task, attempt, worker) = select_run(state, run)?;
             Change::End {
                 task,
                 attempt,
@@ -251,16 +252,16 @@
                 checkpoint: String::new(),
             }
         }
-        Happening::Lapse { worker: place } => Change::Lapse {
+        RandomEvent::Lapse { worker: place } => Change::Lapse {
             worker: worker(place),
         },
-        Happening::Gone { worker: place } => Change::Gone {
+        RandomEvent::Gone { worker: place } => Change::Gone {
             worker: worker(place),
         },
-        Happening::Forget => Change::Forget {
+        RandomEvent::Forget => Change::Forget {
             before_unix_ms: now_ms + 1,
         },
-        Happening::Restore => return None,
+        RandomEvent::Restore => return None,
     })
 }
 
@@ -274,30 +275,29 @@
     });
 }
 
-/// Workers are lost while jobs of all kinds come, run, fail, end and are cancelled, and
-/// instances go on from snapshots in between. What ran on a lost worker must be free to
-/// start again, and nothing else: a run that is missed keeps its job waiting for good,
-/// one that is freed wrongly runs twice. A walk of all jobs finds the same, also on an
-/// instance that restarted.
+/// Workers are lost while jobs of all kinds arrive, run, fail, end and are cancelled, and
+/// instances restore snapshots in between. Exactly the runs on a lost worker must be freed:
+/// a run that is missed keeps its job waiting forever, and one that is freed by mistake
+/// runs twice. The state must match a model that scans all jobs, also after a restart.
 #[quickcheck]
-fn a_lost_worker_frees_what_a_walk_of_all_jobs_finds(happenings: Vec<Happening>) {
+fn a_lost_worker_frees_what_a_walk_of_all_jobs_finds(events: Vec<RandomEvent>) {
     let mut state = State::default();
-    let mut naive = Naive::default();
+    let mut model = ReferenceModel::default();
     apply(&mut state, 0, Change::Configure(Arc::new(configuration(1))));
-    for (now_ms, happening) in (1..).zip(happenings) {
-        if let Some(change) = change(&state, happening, now_ms) {
-            naive.apply(now_ms, &change);
+    for (now_ms, event) in (1..).zip(events) {
+        if let Some(change) = change(&state, event, now_ms) {
+            model.apply(now_ms, &change);
             apply(&mut state, now_ms, change);
         } else {
             let restored = State::decode(&state.encode()).unwrap();
-            assert_eq!(restored, state, "after {happening:?}");
+            assert_eq!(restored, state, "after {event:?}");
             state = restored;
         }
         for place in 0..JOBS {
-            let known = naive.jobs.get(&id(place));
-            assert_eq!(state.job(id(place)), known, "after {happening:?}");
+            let known = model.jobs.get(&id(place));
+            assert_eq!(state.job(id(place)), known, "after {event:?}");
         }
         let active: BTreeSet<JobId> = state.active().map(|job| job.id).collect();
-        assert_eq!(active, naive.active, "after {happening:?}");
+        assert_eq!(active, model.active, "after {event:?}");
     }
 }
--- a/tests/control/leases.rs
+++ b/tests/control/leases.rs
@@ -1,4 +1,4 @@
-//! What a leader believes of a worker's lease, and who extends it.
+//! The leader's view of workers' leases, and who extends them.
 
 use rosemarygauge::control::{
     Change, Command, Ended, Fleet, RunPhase, RunsPolicy, Sizes, State, WorkerLink,
@@ -15,14 +15,14 @@
     link.listed(100, 100, 77_000, &[], &[]);
     let end_ms = link.grant(1_000).unwrap();
     assert_eq!(end_ms, 77_000 + 900 + LEASE_MS);
-    // 5,900 ms on a clock that is 2 % slow take 6,020 ms; a first listing also lets a
-    // lease of an earlier leader run out.
+    // 5,900 ms on a clock that is 2 % slow take 6,020 ms. After the first listing, leases
+    // of an earlier leader must expire as well.
     assert!(!link.has_lapsed(100 + 6_000));
     assert!(link.has_lapsed(100 + 6_200));
 }
 
-/// A leader that never heard a worker knows nothing of its clock. What an earlier
-/// leader granted has run out after a lease and its doubt.
+/// A leader that never heard a worker knows nothing of its clock. A lease that an earlier
+/// leader granted has expired after the lease time and the clock uncertainty.
 #[test]
 fn the_leases_of_an_earlier_leader_run_out_unheard() {
     let link = WorkerLink::new(10_000, LEASE_MS);
@@ -30,7 +30,7 @@
     assert!(link.has_lapsed(15_700));
 }
 
-/// The worker answers nothing: no retry may extend the lease.
+/// A worker does not answer. Retries must not extend its lease.
 #[test]
 fn a_silent_worker_is_granted_nothing() {
     let mut link = WorkerLink::new(0, LEASE_MS);
@@ -42,8 +42,8 @@
     assert!(link.renewal_end(2_000).is_some());
 }
 
-/// A renewal did not get its turn before its time was over. The worker may be well: it
-/// still gets work. It may be lost as well: what is asked next extends no lease.
+/// A renewal timed out in the queue before it was sent. The worker may be healthy, so it
+/// still gets work. It may also be lost, so the next request does not extend its lease.
 #[test]
 fn a_renewal_that_never_left_says_nothing_of_its_worker() {
     let mut link = WorkerLink::new(0, LEASE_MS);
@@ -66,7 +66,8 @@
     assert_eq!(link.grant(1_010), Some(510 + LEASE_MS));
 }
 
-/// A worker that fails run after run rests; one that does its work does not.
+/// A worker whose runs fail repeatedly gets a cooldown; a worker with occasional failures
+/// does not.
 #[test]
 fn failures_in_a_row_give_a_worker_a_rest() {
     let mut link = WorkerLink::new(0, LEASE_MS);
@@ -86,9 +87,9 @@
     assert!(mixed.takes_work(1_000));
 }
 
-/// Two renewals are under way, as one was sent early; a task starts between them. The
-/// answer to the first does not list it and comes late: the task must not be taken for
-/// gone, or it would start a second time elsewhere.
+/// Two renewals are in flight because one was sent early, and a task starts between them.
+/// The late answer to the first does not list the task. It must not be taken as gone, or it
+/// would start a second time elsewhere.
 #[test]
 fn an_old_listing_says_nothing_of_a_later_start() {
     let (mut fleet, task) = fleet_with_a_run();
@@ -97,9 +98,9 @@
     assert_eq!(link.listed(400, 200, 6, &[], &[]), [(task, 1)]);
 }
 
-/// A task is done and starts once more. Its worker has more ends than it lists at once, as
-/// acknowledgements are late: the task is not among those that run, nor is its end listed
-/// yet. That it is in neither list says nothing before all ends fit.
+/// A task finishes and is started again. Because acknowledgements are late, its worker has
+/// more ends than fit into one listing, so the task is neither among the running ones nor
+/// is its end listed yet. Its absence proves nothing until all ends fit.
 #[test]
 fn a_listing_that_is_full_of_ends_says_nothing_of_what_it_lacks() {
     let (mut fleet, task) = fleet_with_a_run();
@@ -119,7 +120,7 @@
     assert_eq!(link.listed(400, 350, 6, &[], &full[1..]), [(task, 1)]);
 }
 
-/// A worker on which a task runs since 150 ms.
+/// Returns a fleet with a worker on which a task has been running since 150 ms.
 fn fleet_with_a_run() -> (Fleet, TaskId) {
     let task = TaskId {
         job: JobId::from(1),
@@ -155,10 +156,11 @@
     (fleet, task)
 }
 
-/// A task runs on two workers at once. Its start is not answered, and the leader stands
-/// still. Another leads, cannot reach the worker, and waits until all leases there have run
-/// out. The first leader goes on: before its next tick it comes to the start and sends it
-/// again, with a lease that ends after that. The task starts elsewhere beside its run.
+/// Guards against a task that runs on two workers at once. A start is not answered and the
+/// leader is paused. Another instance leads, cannot reach the worker, and waits until all
+/// leases there have expired. When the first leader resumes, it handles the outcome of the
+/// start before its next tick and sends the start again, with a lease that ends later. The
+/// task would start elsewhere during this run.
 #[test]
 fn a_leader_that_stood_still_extends_no_lease() {
     for seed in 610..616 {
--- a/tests/control/main.rs
+++ b/tests/control/main.rs
@@ -1,5 +1,5 @@
-//! Control instances without a network: simulated time, fake workers, seeded faults,
-//! and the promises checked at every start and end of a task.
+//! Tests of control instances without a network: simulated time, fake workers and seeded
+//! faults. The guarantees are checked at every start and end of a task.
 #![allow(missing_docs, clippy::unwrap_used)]
 
 #[path = "../naive_disk/mod.rs"]
--- a/tests/control/members.rs
+++ b/tests/control/members.rs
@@ -1,15 +1,15 @@
-//! Control instances that are found, and voters that are replaced.
+//! Discovery of control instances and replacement of voters.
 
 use rosemarygauge::control::{Answer, Event, PeerMessage};
 use rosemarygauge::jobs::JobState;
 
 use crate::world::{World, job, name, step};
 
-/// How long a loss counts after the lost one, or its successor, is there.
+/// Time that a lost instance's replacement has to catch up before the next loss.
 const CATCH_UP_MS: u64 = 4_000;
 
-/// A control instance is gone for good and an empty one comes at another address. It
-/// takes the place of the lost one, so that another loss is borne.
+/// A control instance is lost permanently and an empty one joins at another address. It
+/// replaces the lost one as a voter, so that another loss is tolerated.
 #[test]
 fn a_replaced_instance_bears_the_next_loss() {
     let mut world = World::new(31, 2, 2);
@@ -29,8 +29,8 @@
     assert_eq!(world.look(asked, "long", 5), Some(JobState::Completed));
 }
 
-/// An instance that is only cut off for a moment keeps its vote, though another one could
-/// take its place.
+/// An instance that is cut off briefly stays a voter, although another one could take its
+/// place.
 #[test]
 fn a_short_cut_changes_no_voters() {
     let mut world = World::new(32, 1, 1);
@@ -49,8 +49,8 @@
     assert!(world.until(2_000, |w| w.answers.get(&id) == Some(&Answer::Done)));
 }
 
-/// An instance that is cut off for some seconds gives its vote to the one that waits,
-/// and still hands calls on when it is back.
+/// An instance that is cut off for several seconds is replaced as a voter by the one that
+/// waits. When it is back it still forwards calls.
 #[test]
 fn a_cut_of_seconds_moves_the_vote_and_stops_no_call() {
     let mut world = World::new(32, 1, 1);
@@ -70,10 +70,11 @@
     }
 }
 
-/// A control instance is gone for good, its successor comes at once, and when that has
-/// had its time to catch up another instance loses its disk. If the lost one were still
-/// a voter and the successor not, one whole folder of three would be left: nobody could
-/// lead ever again, and all accepted jobs would be gone.
+/// A control instance is lost permanently and its successor joins at once. When the
+/// successor has had its time to catch up, another instance loses its disk. If the lost
+/// instance were still a voter and the successor were not, only one complete data folder of
+/// three would be left: no leader could ever be elected again, and all accepted jobs would
+/// be lost.
 #[test]
 fn a_disk_may_be_lost_once_a_successor_has_caught_up() {
     for (gone, next) in [(1, 2), (1, 3), (2, 1), (2, 3), (3, 1), (3, 2)] {
@@ -92,7 +93,7 @@
     }
 }
 
-/// Guards against: entry instances that learn of a new leader only when they ask.
+/// Guards against entry instances that learn of a new leader only when they ask.
 #[test]
 fn a_new_leader_is_told_to_those_that_greet() {
     let mut world = World::new(34, 2, 2);
--- a/tests/control/snapshots.rs
+++ b/tests/control/snapshots.rs
@@ -1,4 +1,4 @@
-//! The state that all instances keep, as a snapshot.
+//! Snapshots of the replicated state.
 
 use std::sync::Arc;
 
@@ -8,14 +8,14 @@
 use crate::pool::apply;
 use crate::world::{configuration, job, step};
 
-/// More than a peer's message may have.
+/// Larger than the limit of a peer message.
 const LARGE_BYTES: usize = 17 << 20;
-/// About what the largest payload of a job takes.
+/// About the size of the largest payload of a job.
 const PAYLOAD_BYTES: usize = 3_900;
 
-/// All instances are killed and come back, and no job is known any more. While the state was
-/// large it was written as a snapshot and the log cut behind it; then it was read with the
-/// limit of a peer's message, which is smaller, and the instances went on from nothing.
+/// Guards against the loss of all jobs when all instances restart. A large state was
+/// written as a snapshot and the log truncated behind it. The snapshot was then decoded
+/// with the smaller limit of a peer message, so the instances started with an empty state.
 #[test]
 fn a_large_state_can_be_read_again() {
     let mut state = State::default();
@@ -38,7 +38,8 @@
     assert_eq!(read.map(|read| read == state), Ok(true));
 }
 
-/// The same for many small jobs: their numbers take a byte each and count as eight.
+/// The same for many small jobs. Their ids are encoded in a byte each and count as eight
+/// bytes toward the limit.
 #[test]
 fn a_state_of_many_small_jobs_can_be_read_again() {
     const JOBS: u64 = 70_000;
