--- a/src/control/desk.rs
+++ b/src/control/desk.rs
@@ -103,7 +103,7 @@
     ///
     /// Otherwise the connections of callers without an answer would break at the end of a
     /// planned stop, which callers cannot distinguish from a crash.
-    pub fn give_up(&self) {
+    pub fn abandon_calls(&self) {
         let waiting = std::mem::take(&mut lock(&self.open).answers);
         if !waiting.is_empty() {
             tracing::info!(
--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -177,7 +177,7 @@
                 let decided = Instant::now();
                 meter.record_event(kind, decided - began);
                 if self.carry_out(effects, &disk, &outside, &completions) {
-                    self.desk.give_up();
+                    self.desk.abandon_calls();
                     return Ok(());
                 }
                 let ended = Instant::now();
@@ -305,7 +305,7 @@
             let now_ms = steady_ms();
             let effects = tokio::select! {
                 Some(signal) = self.signals.recv() => match signal {
-                    Signal::Peer(from, message) => gateway.message(steady_ms(), &from, message),
+                    Signal::Peer(from, message) => gateway.handle_message(steady_ms(), &from, message),
                     Signal::Found(members) => {
                         gateway.add_seeds(members);
                         Vec::new()
@@ -319,7 +319,7 @@
                 },
                 Some(call) = self.calls.recv() => {
                     let now_ms = steady_ms();
-                    gateway.call(now_ms, call.id, call.call, now_ms + call.patience_ms)
+                    gateway.add_call(now_ms, call.id, call.call, now_ms + call.patience_ms)
                 }
                 _ = tick.tick() => gateway.tick(steady_ms()),
                 else => return,
@@ -336,7 +336,7 @@
                 ready: stop_by_ms.is_none() && gateway.is_ready(now_ms),
             });
             if stop_by_ms.is_some_and(|by| self.desk.waiting() == 0 || now_ms >= by) {
-                self.desk.give_up();
+                self.desk.abandon_calls();
                 return;
             }
         }
--- a/src/control/gateway.rs
+++ b/src/control/gateway.rs
@@ -103,19 +103,19 @@
     }
 
     /// Adds a call, to be given up at `give_up_ms`.
-    pub fn call(
+    pub fn add_call(
         &mut self,
         now_ms: u64,
         id: u64,
         call: Call,
         give_up_ms: u64,
     ) -> Vec<GatewayEffect> {
-        let actions = self.relay.open(now_ms, id, call, give_up_ms);
+        let actions = self.relay.add_call(now_ms, id, call, give_up_ms);
         actions.into_iter().map(effect_from).collect()
     }
 
     /// Handles a message from a control instance.
-    pub fn message(
+    pub fn handle_message(
         &mut self,
         now_ms: u64,
         from: &EntryName,
@@ -127,7 +127,7 @@
                 leader,
                 term,
                 members,
-            } => self.welcome(now_ms, from, leader, term, members),
+            } => self.handle_welcome(now_ms, from, leader, term, members),
             PeerMessage::Log(_)
             | PeerMessage::Call { .. }
             | PeerMessage::Hello { .. }
@@ -137,7 +137,7 @@
         actions.into_iter().map(effect_from).collect()
     }
 
-    fn welcome(
+    fn handle_welcome(
         &mut self,
         now_ms: u64,
         from: &EntryName,
@@ -198,11 +198,11 @@
     fn next_members(&mut self) -> Vec<EntryName> {
         let members = self.relay.members();
         let count = members.len().min(MAX_HELLO_TARGETS);
-        let turns = members
+        let rotation = members
             .iter()
             .cycle()
             .skip(self.next_member % members.len().max(1));
-        let next = turns.take(count).cloned().collect();
+        let next = rotation.take(count).cloned().collect();
         self.next_member = self.next_member.wrapping_add(count);
         next
     }
@@ -218,12 +218,12 @@
         if now_ms < self.backup.next_hello_ms {
             return None;
         }
-        let unheard = now_ms >= self.backup.last_heard_ms + LEADER_TIMEOUT_MS;
+        let is_silent = now_ms >= self.backup.last_heard_ms + LEADER_TIMEOUT_MS;
         let name = self
             .backup
             .name
             .take()
-            .filter(|name| *name != leader && !unheard);
+            .filter(|name| *name != leader && !is_silent);
         let name = name.or_else(|| {
             self.backup.last_heard_ms = now_ms;
             let mut next = self.next_members();
--- a/src/control/loop_meter.rs
+++ b/src/control/loop_meter.rs
@@ -153,7 +153,7 @@
 
     fn log(&self, passed: Duration, busy: Duration, leads: bool) {
         let ms = |time: Duration| (time.as_secs_f64() * 1_000.0).round() as u64;
-        let of = |kind: EventKind| &self.totals[kind as usize];
+        let totals_of = |kind: EventKind| &self.totals[kind as usize];
         let longest = self.totals.iter().map(|totals| totals.longest).max();
         tracing::info!(
             leads,
@@ -162,22 +162,22 @@
             late_most_ms = ms(self.max_lateness),
             waiting_most = self.max_queue_length,
             longest_ms = ms(longest.unwrap_or_default()),
-            tick_ms = ms(of(EventKind::Tick).time),
-            tick_longest_ms = ms(of(EventKind::Tick).longest),
-            peer_ms = ms(of(EventKind::Peer).time),
-            peers = of(EventKind::Peer).events,
-            carried_ms = ms(of(EventKind::Carried).time),
-            carried = of(EventKind::Carried).events,
-            persisted_ms = ms(of(EventKind::Persisted).time),
-            call_ms = ms(of(EventKind::Call).time),
-            calls = of(EventKind::Call).events,
-            listing_ms = ms(of(EventKind::Listing).time),
-            listings = of(EventKind::Listing).events,
-            order_ms = ms(of(EventKind::Order).time),
-            orders = of(EventKind::Order).events,
-            unanswered = of(EventKind::Unanswered).events,
-            effects_ms = ms(of(EventKind::Effects).time),
-            "loop: its last second"
+            tick_ms = ms(totals_of(EventKind::Tick).time),
+            tick_longest_ms = ms(totals_of(EventKind::Tick).longest),
+            peer_ms = ms(totals_of(EventKind::Peer).time),
+            peers = totals_of(EventKind::Peer).events,
+            carried_ms = ms(totals_of(EventKind::Carried).time),
+            carried = totals_of(EventKind::Carried).events,
+            persisted_ms = ms(totals_of(EventKind::Persisted).time),
+            call_ms = ms(totals_of(EventKind::Call).time),
+            calls = totals_of(EventKind::Call).events,
+            listing_ms = ms(totals_of(EventKind::Listing).time),
+            listings = totals_of(EventKind::Listing).events,
+            order_ms = ms(totals_of(EventKind::Order).time),
+            orders = totals_of(EventKind::Order).events,
+            unanswered = totals_of(EventKind::Unanswered).events,
+            effects_ms = ms(totals_of(EventKind::Effects).time),
+            "loop: statistics of the last second"
         );
     }
 }
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -280,7 +280,9 @@
                 }
                 let actions = self.relay.set_leader(now_ms, leader);
                 self.perform_relay_actions(actions);
-                let actions = self.relay.open(now_ms, id, call, now_ms + CALL_TIMEOUT_MS);
+                let actions = self
+                    .relay
+                    .add_call(now_ms, id, call, now_ms + CALL_TIMEOUT_MS);
                 self.perform_relay_actions(actions);
             }
             CallOrigin::Peer(..) => {
--- a/src/control/node/applied.rs
+++ b/src/control/node/applied.rs
@@ -54,7 +54,7 @@
                 chain_ms,
                 tasks = job.spec.tasks(),
                 placements = job.placements,
-                "job: over"
+                "job: ended"
             );
         }
     }
@@ -162,11 +162,14 @@
         match waiter {
             Waiter::Call(caller) => self.answer(&caller, Answer::Done),
             Waiter::Accept { caller, job } => {
-                let known = self.state.job(job);
-                if let Some(known) = known {
-                    tracing::info!(%job, queue = known.queue, pool = %known.pool, "job: accepted");
+                let job_state = self.state.job(job);
+                if let Some(accepted) = job_state {
+                    tracing::info!(
+                        %job, queue = accepted.queue, pool = %accepted.pool,
+                        "job: accepted"
+                    );
                 }
-                let answer = known.map_or(Answer::Unknown, |_| Answer::Done);
+                let answer = job_state.map_or(Answer::Unknown, |_| Answer::Done);
                 self.answer(&caller, answer);
             }
             Waiter::Place(start) => self.order_start(now_ms, &start),
--- a/src/control/node/calls.rs
+++ b/src/control/node/calls.rs
@@ -142,8 +142,8 @@
             let refusal = Refusal::Wrong(fault.to_string());
             return self.answer(&caller, Answer::Refused(refusal));
         }
-        let held = self.state.configuration().map(|c| c.version);
-        if held.is_some_and(|held| configuration.version <= held) {
+        let current = self.state.configuration().map(|c| c.version);
+        if current.is_some_and(|current| configuration.version <= current) {
             return self.answer(&caller, Answer::Done);
         }
         if ConfigurationPart::is_whole(&configuration) {
--- a/src/control/node/carried_orders.rs
+++ b/src/control/node/carried_orders.rs
@@ -15,13 +15,13 @@
         let Some(lead) = &mut self.leader_state else {
             return;
         };
-        let wanted = self
+        let target_count = self
             .settings
             .policy
             .carriers
             .wanted(self.state.workers().len());
         let heard = self.replica.peers_heard(now_ms);
-        let losses = lead.carriers.update(now_ms, &heard, wanted);
+        let losses = lead.carriers.update(now_ms, &heard, target_count);
         self.handle_carrier_losses(now_ms, losses);
     }
 
--- a/src/control/node/leaderless.rs
+++ b/src/control/node/leaderless.rs
@@ -53,14 +53,14 @@
             return;
         }
         let missing = self.missing_voters(now_ms);
-        let known = self
+        let already_logged = self
             .leaderless
             .last_logged
             .as_ref()
             .is_some_and(|last_logged| {
                 last_logged.missing == missing && now_ms < last_logged.at_ms + LOG_INTERVAL_MS
             });
-        if known {
+        if already_logged {
             return;
         }
         let status = self.replica.status(now_ms);
--- a/src/control/node/machines.rs
+++ b/src/control/node/machines.rs
@@ -103,10 +103,10 @@
         if self.state.waves().values().all(|wave| wave.is_completed()) {
             return;
         }
-        let known = Upkeep::machines(&self.state);
+        let registered = Upkeep::machines(&self.state);
         for wave in self.state.waves().values() {
             for machine in wave.due() {
-                if known.contains_key(machine) || lead.capacity.is_off(machine) {
+                if registered.contains_key(machine) || lead.capacity.is_off(machine) {
                     lead.machines.seen(machine);
                 } else if lead.machines.has_gone(now_ms, machine) {
                     tracing::info!(
--- a/src/control/node/members.rs
+++ b/src/control/node/members.rs
@@ -142,18 +142,18 @@
         }
         self.next_voter_check_ms = now_ms + VOTER_CHECK_INTERVAL_MS;
         let status = self.replica.status(now_ms);
-        let wanted = self.settings.target_voter_count();
+        let target_count = self.settings.target_voter_count();
         let unreachable: Vec<&EntryName> = status
             .voter_states
             .iter()
             .filter(|(_, voter)| voter.heard_age_ms.is_none_or(|age| age > VOTER_TIMEOUT_MS))
             .map(|(name, _)| name)
             .collect();
-        let change = if status.voters.len() > wanted {
+        let change = if status.voters.len() > target_count {
             unreachable
                 .first()
                 .map(|name| VoterChange::Remove((*name).clone()))
-        } else if status.voters.len() < wanted || !unreachable.is_empty() {
+        } else if status.voters.len() < target_count || !unreachable.is_empty() {
             let candidates = self
                 .peers_heard
                 .iter()
--- a/src/control/node/renewals.rs
+++ b/src/control/node/renewals.rs
@@ -91,22 +91,28 @@
         };
         if !link.is_heard(now_ms) || !link.is_confirmed() {
             lead.dirty = true;
-            tracing::info!(%worker, running = running.len(), ended = ended.len(), "worker: heard");
+            tracing::info!(
+                %worker, running = running.len(), ended = ended.len(),
+                "worker: responds"
+            );
         }
-        let absent = link.listed(now_ms, sent_ms, clock_ms, &running, &ended);
-        let fresh: Vec<Ended> = ended
+        let missing_runs = link.listed(now_ms, sent_ms, clock_ms, &running, &ended);
+        let new_ends: Vec<Ended> = ended
             .into_iter()
             .filter(|end| end.number > link.proposed)
             .collect();
         link.renew_ms = now_ms + MIN_RENEWAL_GAP_MS;
-        if let Some(last) = fresh.iter().map(|end| end.number).max() {
+        if let Some(last) = new_ends.iter().map(|end| end.number).max() {
             link.proposed = last;
         }
         if link.proposed > link.acknowledged {
             link.renew_ms = now_ms + ENDS_COMMIT_TIMEOUT_MS;
         }
-        for (task, attempt) in absent {
-            tracing::info!(%task, attempt, %worker, "task: it is not there and will not start");
+        for (task, attempt) in missing_runs {
+            tracing::info!(
+                %task, attempt, %worker,
+                "task: not found on its worker, the placement is withdrawn"
+            );
             let worker = worker.clone();
             let change = Change::Unplace {
                 task,
@@ -115,7 +121,7 @@
             };
             self.propose(change, None);
         }
-        for end in fresh {
+        for end in new_ends {
             self.run_ended(now_ms, worker, end);
         }
         self.stop_unknown_runs(worker, &running);
--- a/src/control/pending.rs
+++ b/src/control/pending.rs
@@ -86,11 +86,11 @@
     fn next_change_count(&self) -> usize {
         let mut size_bytes = 0;
         let next = self.queued.iter().take(MAX_CHANGES_PER_COMMAND);
-        let fit = next.take_while(|(change, _)| {
+        let fitting = next.take_while(|(change, _)| {
             size_bytes += change.size_bytes();
             size_bytes <= MAX_COMMAND_BYTES
         });
-        fit.count().max(1)
+        fitting.count().max(1)
     }
 
     /// Returns the waiters of an applied command's changes, in their order. The result is
--- a/src/control/relay.rs
+++ b/src/control/relay.rs
@@ -51,7 +51,7 @@
 pub struct Relay {
     members: Vec<EntryName>,
     leader: Option<EntryName>,
-    open: BTreeMap<u64, OpenCall>,
+    open_calls: BTreeMap<u64, OpenCall>,
     next_member: usize,
     /// The control instance that was named as the leader most recently and answered that it
     /// does not lead, with the time until which it is not believed to lead.
@@ -112,7 +112,7 @@
             return Vec::new();
         }
         self.probe_interval_ms = 0;
-        for open in self.open.values_mut() {
+        for open in self.open_calls.values_mut() {
             open.next_send_ms = now_ms;
         }
         self.tick(now_ms)
@@ -125,11 +125,17 @@
 
     /// Returns the number of calls that await an answer.
     pub fn waiting(&self) -> usize {
-        self.open.len()
+        self.open_calls.len()
     }
 
     /// Adds a call, to be given up at `give_up_ms`.
-    pub fn open(&mut self, now_ms: u64, id: u64, call: Call, give_up_ms: u64) -> Vec<RelayAction> {
+    pub fn add_call(
+        &mut self,
+        now_ms: u64,
+        id: u64,
+        call: Call,
+        give_up_ms: u64,
+    ) -> Vec<RelayAction> {
         let open = OpenCall {
             call,
             arrived_ms: now_ms,
@@ -139,7 +145,7 @@
             unanswered: 0,
             accepted_by_leader: false,
         };
-        self.open.insert(id, open);
+        self.open_calls.insert(id, open);
         if self.leader.is_none() && !self.take_probe(now_ms) {
             return Vec::new();
         }
@@ -148,7 +154,7 @@
 
     /// Handles an answer from a control instance.
     pub fn handle_answer(&mut self, now_ms: u64, id: u64, answer: Answer) -> Vec<RelayAction> {
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(open) = self.open_calls.get_mut(&id) else {
             return Vec::new();
         };
         let leader = match answer {
@@ -158,7 +164,7 @@
                 None
             }
             answer => {
-                self.open.remove(&id);
+                self.open_calls.remove(&id);
                 return vec![RelayAction::Answer { id, answer }];
             }
         };
@@ -170,7 +176,7 @@
         }
         let leader = leader.filter(|name| !self.is_recent_non_leader(now_ms, name));
         let names_new_leader = leader.is_some() && leader != self.leader;
-        if let Some(open) = self.open.get_mut(&id) {
+        if let Some(open) = self.open_calls.get_mut(&id) {
             open.next_send_ms = if names_new_leader {
                 now_ms
             } else {
@@ -200,14 +206,14 @@
 
     /// Takes all waiting calls, for an instance that has become the leader.
     pub fn take_all(&mut self) -> Vec<(u64, Call)> {
-        let open = std::mem::take(&mut self.open);
+        let open = std::mem::take(&mut self.open_calls);
         open.into_iter().map(|(id, open)| (id, open.call)).collect()
     }
 
     /// Gives up the calls that arrived before `arrived_before_ms`, because they cannot be
     /// answered from here. Their callers then try another instance sooner.
     pub fn give_up_older_than(&mut self, now_ms: u64, arrived_before_ms: u64) {
-        for open in self.open.values_mut() {
+        for open in self.open_calls.values_mut() {
             if open.arrived_ms < arrived_before_ms {
                 open.give_up_ms = now_ms;
             }
@@ -218,19 +224,19 @@
     pub fn tick(&mut self, now_ms: u64) -> Vec<RelayAction> {
         let mut actions = Vec::new();
         let expired: Vec<u64> = self
-            .open
+            .open_calls
             .iter()
             .filter(|(_, open)| now_ms >= open.give_up_ms)
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
-            if let Some(open) = self.open.remove(&id) {
+            if let Some(open) = self.open_calls.remove(&id) {
                 let answer = open.timeout_answer();
                 actions.push(RelayAction::Answer { id, answer });
             }
         }
         let due: Vec<u64> = self
-            .open
+            .open_calls
             .iter()
             .filter(|(_, open)| now_ms >= open.next_send_ms)
             .map(|(id, _)| *id)
@@ -259,12 +265,12 @@
     }
 
     fn send(&mut self, now_ms: u64, id: u64) -> Option<RelayAction> {
-        let open = self.open.get(&id)?;
+        let open = self.open_calls.get(&id)?;
         if open.unanswered > 0 && now_ms >= open.next_send_ms + RESEND_TIMEOUT_MS {
             self.leader = None;
         }
         let to = self.target()?;
-        let open = self.open.get_mut(&id)?;
+        let open = self.open_calls.get_mut(&id)?;
         open.sent_to = Some(to.clone());
         open.unanswered += 1;
         open.next_send_ms = now_ms + RESEND_TIMEOUT_MS;
--- a/tests/control/relay.rs
+++ b/tests/control/relay.rs
@@ -23,7 +23,10 @@
 #[test]
 fn a_call_goes_to_the_leader_that_another_instance_names() {
     let mut relay = relay();
-    assert_eq!(relay.open(0, 1, Call::ReadConfiguration, 3_000).len(), 1);
+    assert_eq!(
+        relay.add_call(0, 1, Call::ReadConfiguration, 3_000).len(),
+        1
+    );
     let leader = Some(name(3));
     let actions = relay.handle_answer(10, 1, Answer::NotLeader { leader });
     assert_eq!(targets(&actions), ["10.0.0.3"]);
@@ -38,7 +41,7 @@
 fn a_call_without_an_answer_is_sent_elsewhere() {
     let mut relay = relay();
     relay.set_leader(0, Some(name(1)));
-    relay.open(0, 1, Call::ReadConfiguration, 9_000);
+    relay.add_call(0, 1, Call::ReadConfiguration, 9_000);
     let mut asked = std::collections::BTreeSet::new();
     for now_ms in (0..4_000).step_by(50) {
         asked.extend(targets(&relay.tick(now_ms)));
@@ -53,14 +56,14 @@
 #[test]
 fn only_a_call_that_never_left_is_refused() {
     let mut sent = relay();
-    sent.open(0, 1, Call::ReadConfiguration, 500);
+    sent.add_call(0, 1, Call::ReadConfiguration, 500);
     let actions = sent.tick(600);
     assert!(actions.contains(&RelayAction::Answer {
         id: 1,
         answer: Answer::Unknown
     }));
     let mut unsent = Relay::default();
-    unsent.open(0, 2, Call::ReadConfiguration, 500);
+    unsent.add_call(0, 2, Call::ReadConfiguration, 500);
     let refused = unsent.tick(600).into_iter().any(|action| {
         matches!(
             action,
@@ -85,12 +88,12 @@
         members: (1..=3).map(name).collect(),
     };
     // Only the leader's own answer shows that the leader is reachable.
-    gateway.message(10, &name(2), welcome(1));
+    gateway.handle_message(10, &name(2), welcome(1));
     assert!(!gateway.is_ready(20));
-    gateway.message(30, &name(1), welcome(1));
+    gateway.handle_message(30, &name(1), welcome(1));
     assert!(gateway.is_ready(40));
     assert!(!gateway.is_ready(2_000));
-    let effects = gateway.call(2_000, 5, Call::ReadConfiguration, 4_000);
+    let effects = gateway.add_call(2_000, 5, Call::ReadConfiguration, 4_000);
     assert!(matches!(effects[0], GatewayEffect::Send { .. }));
 }
 
@@ -104,8 +107,8 @@
         term: 1,
         members: (1..=3).map(name).collect(),
     };
-    gateway.message(0, &name(1), welcome);
-    gateway.call(100, 5, Call::ReadConfiguration, 4_000);
+    gateway.handle_message(0, &name(1), welcome);
+    gateway.add_call(100, 5, Call::ReadConfiguration, 4_000);
     let given_up = (100..4_000).step_by(50).find(|now_ms| {
         let answer = Answer::Unknown;
         gateway
@@ -129,7 +132,7 @@
     let mut sent = 0;
     let mut actions = Vec::new();
     for id in 0..CALLS {
-        actions.extend(relay.open(0, id, Call::ReadConfiguration, 9_000));
+        actions.extend(relay.add_call(0, id, Call::ReadConfiguration, 9_000));
     }
     for now_ms in (0..2_000).step_by(10) {
         let asked: Vec<u64> = actions.drain(..).filter_map(sent_id).collect();
@@ -169,7 +172,7 @@
     let mut sent = 0;
     let mut in_flight = Vec::new();
     for id in 0..CALLS {
-        in_flight.extend(relay.open(0, id, Call::ReadConfiguration, 9_000));
+        in_flight.extend(relay.add_call(0, id, Call::ReadConfiguration, 9_000));
     }
     for now_ms in (0..1_000).step_by(2) {
         for action in std::mem::take(&mut in_flight) {
@@ -199,7 +202,7 @@
 #[test]
 fn a_call_that_nobody_took_is_refused_as_not_run() {
     let mut relay = relay();
-    relay.open(0, 1, Call::ReadConfiguration, 2_000);
+    relay.add_call(0, 1, Call::ReadConfiguration, 2_000);
     let no_leader = Answer::NotLeader { leader: None };
     relay.handle_answer(10, 1, no_leader.clone());
     for now_ms in (20..2_000).step_by(20) {
@@ -230,7 +233,7 @@
     let cases: [fn(&mut Relay); 2] = [lost, unanswered];
     for case in cases {
         let mut relay = relay();
-        relay.open(0, 1, Call::ReadConfiguration, 1_000);
+        relay.add_call(0, 1, Call::ReadConfiguration, 1_000);
         case(&mut relay);
         let actions = relay.tick(1_000);
         assert_eq!(answers(&actions), [&Answer::Unknown]);
@@ -247,11 +250,11 @@
         term,
         members: (1..=3).map(name).collect(),
     };
-    gateway.message(0, &name(1), welcome(1, 4));
-    gateway.call(10, 5, Call::ReadConfiguration, 4_000);
-    let late = gateway.message(20, &name(2), welcome(2, 3));
+    gateway.handle_message(0, &name(1), welcome(1, 4));
+    gateway.add_call(10, 5, Call::ReadConfiguration, 4_000);
+    let late = gateway.handle_message(20, &name(2), welcome(2, 3));
     assert!(late.is_empty(), "a leader of an earlier term: {late:?}");
-    let effects = gateway.message(30, &name(2), welcome(3, 5));
+    let effects = gateway.handle_message(30, &name(2), welcome(3, 5));
     let moved = effects.iter().any(|effect| {
         matches!(effect, GatewayEffect::Send { to, message: PeerMessage::Call { id: 5, .. } }
             if *to == name(3))
@@ -278,7 +281,7 @@
                 term: 1,
                 members: (1..=8).map(name).collect(),
             };
-            gateway.message(now_ms, &to, welcome);
+            gateway.handle_message(now_ms, &to, welcome);
         }
     }
     assert_eq!(greeted.len(), 2, "{greeted:?}");
