--- a/src/entry/driver.rs
+++ b/src/entry/driver.rs
@@ -21,9 +21,9 @@
 
 /// How often time is fed to the node. Fine enough for queue waits and election
 /// timeouts, coarse enough to cost a fraction of a percent of a core.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Events taken in one go before time is looked at again.
-const BATCH: usize = 256;
+const MAX_EVENTS_PER_BATCH: usize = 256;
 
 /// What can go wrong with an entry instance as a whole.
 #[derive(Debug, derive_more::Display, derive_more::Error, derive_more::From)]
@@ -232,7 +232,7 @@
 
 impl Edges {
     /// Carries out an effect; `true` at the end of a planned stop.
-    fn carry_out(&self, effect: Effect) -> bool {
+    fn execute(&self, effect: Effect) -> bool {
         match effect {
             Effect::AnswerCall { id, answer } => self.callers.answer(id, answer),
             Effect::AnswerAnnounce { id, reply } => self.upstreams.answer(id, reply),
@@ -259,10 +259,10 @@
         false
     }
 
-    fn carry_out_all(&self, effects: Vec<Effect>) -> bool {
+    fn execute_all(&self, effects: Vec<Effect>) -> bool {
         let mut stopped = false;
         for effect in effects {
-            stopped |= self.carry_out(effect);
+            stopped |= self.execute(effect);
         }
         stopped
     }
@@ -284,8 +284,8 @@
     mut edges: Edges,
 ) -> Result<(), DriverError> {
     let start = Instant::now();
-    let since_ms = || u64::try_from(start.elapsed().as_millis()).unwrap_or(u64::MAX);
-    let mut node = Node::new(settings, recovered, unix_ms(), since_ms());
+    let elapsed_ms = || u64::try_from(start.elapsed().as_millis()).unwrap_or(u64::MAX);
+    let mut node = Node::new(settings, recovered, unix_ms(), elapsed_ms());
     let mut next_tick = start;
     loop {
         let wait = next_tick.saturating_duration_since(Instant::now());
@@ -302,16 +302,18 @@
                 // break a promise, so the process ends at once.
                 Input::DiskFailed(err) => return Err(err.into()),
             };
-            if edges.carry_out_all(node.handle(since_ms(), event)) {
+            if edges.execute_all(node.handle(elapsed_ms(), event)) {
                 edges.shut_down();
                 return Ok(());
             }
             taken += 1;
-            input = (taken < BATCH).then(|| inputs.try_recv().ok()).flatten();
+            input = (taken < MAX_EVENTS_PER_BATCH)
+                .then(|| inputs.try_recv().ok())
+                .flatten();
         }
         if Instant::now() >= next_tick {
-            next_tick = Instant::now() + TICK;
-            if edges.carry_out_all(node.handle(since_ms(), Event::Tick)) {
+            next_tick = Instant::now() + TICK_INTERVAL;
+            if edges.execute_all(node.handle(elapsed_ms(), Event::Tick)) {
                 edges.shut_down();
                 return Ok(());
             }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,11 +1,10 @@
-//! An entry instance: what it decides with what it has heard ([`Node`]) and the
-//! driver that feeds it from the edges.
+//! An entry instance: its state machine ([`Node`]) and the [`Driver`] that connects it
+//! to network, clock and disk.
 //!
-//! [`Node`] is a plain object: every [`Event`] goes in with the present time and
-//! every [`Effect`] that comes out is carried out by the driver, in order. It
-//! joins the load decisions, the replicated log and the replicated state; it
-//! holds no clock, socket, thread or file, so that a whole entry instance can be
-//! run without a network.
+//! [`Node`] does no input or output: each [`Event`] is passed in with the current time,
+//! and the driver carries out the returned [`Effect`]s in order. It combines the load
+//! dispatcher, the replicated log and the replicated state. As it holds no clock,
+//! socket, thread or file, tests can run a whole entry instance without a network.
 
 mod call;
 mod counts;
--- a/src/entry/node/acceptance.rs
+++ b/src/entry/node/acceptance.rs
@@ -1,4 +1,5 @@
-//! Patient jobs at the door: proposed to the replicated state and accepted there.
+//! Acceptance of patient jobs: proposed to the replicated state, which accepts or
+//! refuses them.
 
 use crate::model::{Outcome, RefusalReason, RequestKey};
 use crate::state::{
@@ -6,11 +7,11 @@
 };
 
 use super::super::{Call, CallAnswer, CallId, Effect};
-use super::answers::{NO_QUORUM_RETRY_MS, not_run, unchecked};
+use super::answers::{NO_QUORUM_RETRY_MS, not_run, outcome_without_key_check};
 use super::{Node, Purpose};
 
 /// How long the acceptance of a patient job may take.
-const ACCEPT_PATIENCE_MS: u64 = 5_000;
+const JOB_ACCEPT_TIMEOUT_MS: u64 = 5_000;
 
 impl Node {
     pub(super) fn accept_job(
@@ -21,13 +22,14 @@
         out: &mut Vec<Effect>,
     ) {
         if self.is_cut_off(now_ms) {
-            let outcome = unchecked(call, RefusalReason::NoQuorum, NO_QUORUM_RETRY_MS);
+            let outcome =
+                outcome_without_key_check(call, RefusalReason::NoQuorum, NO_QUORUM_RETRY_MS);
             return self.answer_call(id, outcome, out);
         }
         let limit_bytes = MAX_JOB_PART_BYTES;
         if call.body.len() as u64 > limit_bytes {
             let reply = Reply::Job(JobReply::TooLarge { limit_bytes });
-            return self.accepted(id, reply, out);
+            return self.answer_acceptance(id, reply, out);
         }
         let number = self.next_request();
         let job = JobId::from(format!(
@@ -45,13 +47,13 @@
             idempotent: call.idempotent,
             body: call.body.to_vec(),
         };
-        let patience_ms = call.deadline_ms.min(ACCEPT_PATIENCE_MS);
+        let timeout_ms = call.deadline_ms.min(JOB_ACCEPT_TIMEOUT_MS);
         let purpose = Purpose::Accept(id);
-        self.open_proposal(now_ms, Change::JobAccept(new), purpose, patience_ms, out);
+        self.open_proposal(now_ms, Change::JobAccept(new), purpose, timeout_ms, out);
     }
 
-    /// Answers a call that brought a patient job.
-    pub(super) fn accepted(&mut self, id: CallId, reply: Reply, out: &mut Vec<Effect>) {
+    /// Answers a call that submitted a patient job.
+    pub(super) fn answer_acceptance(&mut self, id: CallId, reply: Reply, out: &mut Vec<Effect>) {
         let outcome = match reply {
             Reply::Job(JobReply::Accepted { job }) => {
                 let answer = CallAnswer::Accepted {
--- a/src/entry/node/attempts.rs
+++ b/src/entry/node/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts: what the dispatcher wants sent, and what came of it.
+//! Attempts: sent to upstreams as the dispatcher decides, with their outcomes reported
+//! back to it.
 
 use std::sync::Arc;
 
@@ -32,7 +33,7 @@
                 }
             }
             AttemptEnd::Checkpoint { data } => {
-                self.keep_checkpoint(now_ms, request, data, out);
+                self.store_checkpoint(now_ms, request, data, out);
                 load::Input::Refused {
                     request,
                     attempt,
@@ -50,18 +51,18 @@
                 run_us,
             },
         };
-        self.load(now_ms, input, out);
+        self.drive_dispatcher(now_ms, input, out);
         self.drop_cancelled(request);
     }
 
-    /// Whether an attempt of the request is under way.
+    /// Whether an attempt of the request is in flight.
     pub(super) fn has_attempt(&self, request: RequestId) -> bool {
         let attempts = (request, AttemptId(0))..=(request, AttemptId(u32::MAX));
-        self.attempts_on.range(attempts).next().is_some()
+        self.attempt_instances.range(attempts).next().is_some()
     }
 
-    /// Forgets a cancelled request with its last attempt: the dispatcher has
-    /// nothing more to say of it.
+    /// Removes a cancelled request after its last attempt: the dispatcher emits no
+    /// further action for it.
     fn drop_cancelled(&mut self, request: RequestId) {
         let cancelled = self.requests.get(&request).is_some_and(|open| {
             matches!(
@@ -78,8 +79,13 @@
         }
     }
 
-    /// Gives the dispatcher an input and carries out what it decides.
-    pub(super) fn load(&mut self, now_ms: u64, input: load::Input<'_>, out: &mut Vec<Effect>) {
+    /// Passes an input to the dispatcher and carries out the resulting actions.
+    pub(super) fn drive_dispatcher(
+        &mut self,
+        now_ms: u64,
+        input: load::Input<'_>,
+        out: &mut Vec<Effect>,
+    ) {
         for action in self.dispatcher.handle(now_ms, input) {
             match action {
                 Action::Dispatch {
@@ -88,7 +94,7 @@
                     instance,
                     incarnation,
                     pool_epoch,
-                } => self.dispatch(
+                } => self.dispatch_attempt(
                     now_ms,
                     (request, attempt),
                     &instance,
@@ -97,8 +103,8 @@
                     out,
                 ),
                 Action::Deliver { request, attempt } => {
-                    let outcome = self.whole_answer(request, attempt);
-                    self.finish(now_ms, request, outcome, out);
+                    let outcome = self.take_answer(request, attempt);
+                    self.finish_request(now_ms, request, outcome, out);
                 }
                 Action::Refuse {
                     request,
@@ -109,16 +115,16 @@
                         reason,
                         retry_after_ms,
                     };
-                    self.finish(now_ms, request, outcome, out);
+                    self.finish_request(now_ms, request, outcome, out);
                 }
                 Action::GiveUpUnknown { request } => {
-                    self.finish(now_ms, request, Outcome::Unknown, out);
+                    self.finish_request(now_ms, request, Outcome::Unknown, out);
                 }
             }
         }
     }
 
-    fn dispatch(
+    fn dispatch_attempt(
         &mut self,
         now_ms: u64,
         (request, attempt): (RequestId, AttemptId),
@@ -127,7 +133,7 @@
         pool_epoch: u64,
         out: &mut Vec<Effect>,
     ) {
-        match self.sending(
+        match self.build_sending(
             now_ms,
             (request, attempt),
             instance,
@@ -135,22 +141,22 @@
             pool_epoch,
         ) {
             Some(sending) => {
-                self.attempts += 1;
+                self.attempts_sent += 1;
                 *self.in_flight.entry(instance.clone()).or_default() += 1;
-                self.attempts_on
+                self.attempt_instances
                     .insert((request, attempt), instance.clone());
                 out.push(Effect::Send(sending));
             }
-            // The address went stale between the decision and here: nothing was
-            // sent.
-            None => self.refused_here.push((request, attempt)),
+            // The upstream, its pool or the request was gone before sending: nothing
+            // was sent.
+            None => self.unsent_attempts.push((request, attempt)),
         }
     }
 
-    /// The attempt is over, whatever came of it.
-    pub(super) fn settle_attempt(&mut self, request: RequestId, attempt: AttemptId) {
-        self.checkpoints_asked.remove(&(request, attempt));
-        let Some(instance) = self.attempts_on.remove(&(request, attempt)) else {
+    /// Removes an attempt that has ended, with any outcome.
+    pub(super) fn remove_attempt(&mut self, request: RequestId, attempt: AttemptId) {
+        self.requested_checkpoints.remove(&(request, attempt));
+        let Some(instance) = self.attempt_instances.remove(&(request, attempt)) else {
             return;
         };
         if let Some(count) = self.in_flight.get_mut(&instance) {
@@ -161,7 +167,7 @@
         }
     }
 
-    fn sending(
+    fn build_sending(
         &self,
         now_ms: u64,
         (request, attempt): (RequestId, AttemptId),
@@ -190,25 +196,31 @@
             idempotent: open.idempotent,
             key: open.key.clone(),
             fence,
-            checkpoint: self.checkpoint(&open.origin),
-            timeout_ms: left_ms.min(open.attempt_ms).max(1),
+            checkpoint: self.latest_checkpoint(&open.origin),
+            timeout_ms: left_ms.min(open.attempt_timeout_ms).max(1),
             body: Arc::clone(&open.body),
         })
     }
 
-    fn whole_answer(&mut self, request: RequestId, attempt: AttemptId) -> Outcome {
+    fn take_answer(&mut self, request: RequestId, attempt: AttemptId) -> Outcome {
         let answer = self
             .requests
             .get_mut(&request)
             .and_then(|open| open.answer.take());
         match answer {
             Some((of, status, body)) if of == attempt => Outcome::Done { status, body },
-            // Never another attempt's answer: better none than a wrong one.
+            // The answer of another attempt could be wrong, so it is never used.
             _ => Outcome::Unknown,
         }
     }
 
-    fn finish(&mut self, now_ms: u64, request: RequestId, outcome: Outcome, out: &mut Vec<Effect>) {
+    fn finish_request(
+        &mut self,
+        now_ms: u64,
+        request: RequestId,
+        outcome: Outcome,
+        out: &mut Vec<Effect>,
+    ) {
         match self.requests.get(&request).map(|open| &open.origin) {
             Some(Origin::Call { .. }) => self.finish_call(now_ms, request, outcome, out),
             Some(Origin::Job { .. }) => self.finish_job(now_ms, request, outcome, out),
--- a/src/entry/node/callers.rs
+++ b/src/entry/node/callers.rs
@@ -1,30 +1,39 @@
-//! Calls: from their arrival to the dispatcher, the claim or the job.
+//! Calls from callers: checked on arrival, then routed to the dispatcher, a claim or a
+//! patient job.
 
 use std::sync::Arc;
 
 use crate::load::{Input, Request, RequestId};
 use crate::model::{Class, RefusalReason, Service};
 
-use super::super::open::{ClaimHold, Open, Origin};
+use super::super::open::{ClaimHold, OpenRequest, Origin};
 use super::super::{Call, CallAnswer, CallId, Effect};
 use super::Node;
-use super::answers::{not_run, unchecked};
+use super::answers::{not_run, outcome_without_key_check};
 
-/// When to come back to an entry instance that has just started.
+/// Retry delay told to callers by an entry instance that has just started.
 const STARTING_RETRY_MS: u64 = 500;
-/// An attempt may take this many times the declared run time, which is often off
-/// by four, and [`ATTEMPT_EXTRA_MS`] on top, before its connection counts as lost.
-const ATTEMPT_TIMES: u64 = 10;
-const ATTEMPT_EXTRA_MS: u64 = 2_000;
+/// An attempt times out after the declared run time times this factor plus
+/// [`ATTEMPT_TIMEOUT_EXTRA_MS`]. The factor is generous because declared run times are
+/// often off by a factor of four.
+const ATTEMPT_TIMEOUT_FACTOR: u64 = 10;
+const ATTEMPT_TIMEOUT_EXTRA_MS: u64 = 2_000;
 
 impl Node {
-    pub(super) fn call(&mut self, now_ms: u64, id: CallId, call: Call, out: &mut Vec<Effect>) {
-        if !self.knows_state {
-            let outcome = unchecked(&call, RefusalReason::Starting, STARTING_RETRY_MS);
+    pub(super) fn handle_call(
+        &mut self,
+        now_ms: u64,
+        id: CallId,
+        call: Call,
+        out: &mut Vec<Effect>,
+    ) {
+        if !self.is_state_known {
+            let outcome =
+                outcome_without_key_check(&call, RefusalReason::Starting, STARTING_RETRY_MS);
             return self.answer_call(id, outcome, out);
         }
         if self.refuses_new() {
-            let outcome = unchecked(&call, RefusalReason::Stopping, 0);
+            let outcome = outcome_without_key_check(&call, RefusalReason::Stopping, 0);
             return self.answer_call(id, outcome, out);
         }
         let Some(service) = self.service(&call) else {
@@ -43,13 +52,13 @@
             Class::Patient => self.accept_job(now_ms, id, &call, out),
             Class::Urgent if call.idempotent => {
                 let request = self.open_call(now_ms, id, call, &service, None);
-                self.offer(now_ms, request, out);
+                self.submit_to_dispatcher(now_ms, request, out);
             }
-            Class::Urgent => self.claim(now_ms, id, call, &service, out),
+            Class::Urgent => self.propose_claim(now_ms, id, call, &service, out),
         }
     }
 
-    pub(super) fn caller_gone(&mut self, now_ms: u64, id: CallId, out: &mut Vec<Effect>) {
+    pub(super) fn handle_caller_gone(&mut self, now_ms: u64, id: CallId, out: &mut Vec<Effect>) {
         self.waiters.retain(|waiter| waiter.id != id);
         let Some(request) = self.calls.remove(&id) else {
             return;
@@ -62,12 +71,12 @@
             *gone = true;
             claimed = claim.is_some();
         }
-        // One that still waits for its claim is given up when that is granted.
-        // One that may run only once and is under way goes on: its answer is
-        // stored for the caller who comes back and asks again.
+        // A request that still waits for its claim is cancelled when the claim is
+        // granted. One that may run only once and is in flight continues: its answer is
+        // stored for a caller that asks again.
         let offered = open.offered;
         if offered && !(claimed && self.has_attempt(request)) {
-            self.load(now_ms, Input::Cancel(request), out);
+            self.drive_dispatcher(now_ms, Input::Cancel(request), out);
         }
     }
 
@@ -87,8 +96,8 @@
     ) -> RequestId {
         let request = self.next_request();
         let deadline_ms = now_ms.saturating_add(call.deadline_ms);
-        let attempt_ms = if call.idempotent {
-            attempt_ms(service)
+        let attempt_timeout_ms = if call.idempotent {
+            attempt_timeout_ms(service)
         } else {
             call.deadline_ms
         };
@@ -100,7 +109,7 @@
         self.calls.insert(id, request);
         self.requests.insert(
             request,
-            Open {
+            OpenRequest {
                 origin,
                 service: call.service,
                 team: call.team,
@@ -110,7 +119,7 @@
                 key: call.key,
                 body: call.body,
                 deadline_ms,
-                attempt_ms,
+                attempt_timeout_ms,
                 answer: None,
                 offered: false,
             },
@@ -118,8 +127,13 @@
         request
     }
 
-    /// Hands an open request to the dispatcher.
-    pub(super) fn offer(&mut self, now_ms: u64, id: RequestId, out: &mut Vec<Effect>) {
+    /// Submits an open request to the dispatcher.
+    pub(super) fn submit_to_dispatcher(
+        &mut self,
+        now_ms: u64,
+        id: RequestId,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
@@ -133,17 +147,17 @@
             idempotent: open.idempotent,
             deadline_ms: open.deadline_ms,
         };
-        self.load(now_ms, Input::Offer(request), out);
+        self.drive_dispatcher(now_ms, Input::Offer(request), out);
     }
 }
 
-/// Longest time for one attempt of a service.
-pub(super) fn attempt_ms(service: &Service) -> u64 {
-    let times = service.demand.run_ms.saturating_mul(ATTEMPT_TIMES);
-    times.saturating_add(ATTEMPT_EXTRA_MS)
+/// Longest time for one attempt on a service, in milliseconds.
+pub(super) fn attempt_timeout_ms(service: &Service) -> u64 {
+    let times = service.demand.run_ms.saturating_mul(ATTEMPT_TIMEOUT_FACTOR);
+    times.saturating_add(ATTEMPT_TIMEOUT_EXTRA_MS)
 }
 
-/// The body as shared bytes.
-pub(super) fn shared(body: &[u8]) -> Arc<[u8]> {
+/// Copies a body into shared bytes.
+pub(super) fn shared_bytes(body: &[u8]) -> Arc<[u8]> {
     Arc::from(body)
 }
--- a/src/entry/node/claims.rs
+++ b/src/entry/node/claims.rs
@@ -1,5 +1,5 @@
-//! Requests that may run only once: the claim of their key, from its proposal to
-//! its verdict.
+//! Claims on the keys of requests that may run only once, from the proposal to its
+//! reply.
 
 use crate::load::RequestId;
 use crate::model::{Outcome, RefusalReason, RequestKey, Service};
@@ -7,15 +7,16 @@
 
 use super::super::open::{ClaimHold, Origin};
 use super::super::{Call, CallId, Effect};
-use super::answers::{NO_QUORUM_RETRY_MS, not_run, unchecked};
+use super::answers::{NO_QUORUM_RETRY_MS, not_run, outcome_without_key_check};
 use super::{Node, Purpose, Waiter};
 
-/// How long a claim may take. An election of a new leader fits in, so that one
-/// does not turn requests away; a cut off zone learns soon that it is.
-const CLAIM_PATIENCE_MS: u64 = 3_000;
+/// How long a claim may take: long enough for the election of a leader, so that an
+/// election does not refuse requests, and short enough that callers in a cut-off zone
+/// are told soon.
+const CLAIM_TIMEOUT_MS: u64 = 3_000;
 
 impl Node {
-    pub(super) fn claim(
+    pub(super) fn propose_claim(
         &mut self,
         now_ms: u64,
         id: CallId,
@@ -37,14 +38,19 @@
             return self.answer_call(id, outcome, out);
         }
         if self.is_cut_off(now_ms) {
-            let outcome = unchecked(&call, RefusalReason::NoQuorum, NO_QUORUM_RETRY_MS);
+            let outcome =
+                outcome_without_key_check(&call, RefusalReason::NoQuorum, NO_QUORUM_RETRY_MS);
             return self.answer_call(id, outcome, out);
         }
-        let patience_ms = call.deadline_ms.min(CLAIM_PATIENCE_MS);
+        let timeout_ms = call.deadline_ms.min(CLAIM_TIMEOUT_MS);
         let hold = ClaimHold {
             key: key.clone(),
             fence: None,
-            unchecked: unchecked(&call, RefusalReason::NoQuorum, NO_QUORUM_RETRY_MS),
+            fallback_outcome: outcome_without_key_check(
+                &call,
+                RefusalReason::NoQuorum,
+                NO_QUORUM_RETRY_MS,
+            ),
         };
         let request = self.open_call(now_ms, id, call, service, Some(hold));
         let change = Change::Claim {
@@ -53,11 +59,11 @@
             request,
         };
         let purpose = Purpose::Claim(request);
-        self.open_proposal(now_ms, change, purpose, patience_ms, out);
+        self.open_proposal(now_ms, change, purpose, timeout_ms, out);
     }
 
-    /// Goes on with a request whose claim was answered.
-    pub(super) fn claimed(
+    /// Continues a request according to the reply to its claim.
+    pub(super) fn handle_claim_reply(
         &mut self,
         now_ms: u64,
         request: RequestId,
@@ -66,22 +72,28 @@
     ) {
         let outcome = match reply {
             Reply::Claim(ClaimReply::Granted { fence }) => {
-                return self.granted(now_ms, request, fence, out);
+                return self.handle_claim_grant(now_ms, request, fence, out);
             }
-            Reply::Claim(ClaimReply::InFlight { .. }) => return self.wait_for(request),
+            Reply::Claim(ClaimReply::InFlight { .. }) => return self.wait_for_key_holder(request),
             Reply::Claim(ClaimReply::Answered { status, body }) => Outcome::Done { status, body },
-            // Its answer is no longer kept; that it ran is all that is known.
+            // The answer is no longer kept; all that is known is that it ran.
             Reply::Claim(ClaimReply::Unknown | ClaimReply::Expired) => Outcome::Unknown,
             Reply::Claim(ClaimReply::Conflict) => not_run(RefusalReason::KeyConflict, None),
             Reply::Claim(ClaimReply::Full) => not_run(RefusalReason::QueueFull, Some(1_000)),
-            // The claim's fate cannot be told, and so what became of the key.
-            _ => self.unchecked_claim(request),
+            // The outcome of the claim is unknown, and so is whether the key has run.
+            _ => self.unresolved_claim_outcome(request),
         };
         self.drop_claim(request);
         self.finish_call(now_ms, request, outcome, out);
     }
 
-    fn granted(&mut self, now_ms: u64, request: RequestId, granted: Fence, out: &mut Vec<Effect>) {
+    fn handle_claim_grant(
+        &mut self,
+        now_ms: u64,
+        request: RequestId,
+        granted: Fence,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(open) = self.requests.get_mut(&request) else {
             return;
         };
@@ -98,11 +110,11 @@
             let outcome = not_run(RefusalReason::Cancelled, None);
             return self.finish_call(now_ms, request, outcome, out);
         }
-        self.offer(now_ms, request, out);
+        self.submit_to_dispatcher(now_ms, request, out);
     }
 
-    /// Lets a call wait for the answer of the request that holds its key.
-    fn wait_for(&mut self, request: RequestId) {
+    /// Makes a call wait for the answer of the request that holds its key.
+    fn wait_for_key_holder(&mut self, request: RequestId) {
         let Some(open) = self.requests.remove(&request) else {
             return;
         };
@@ -129,31 +141,27 @@
         }
     }
 
-    /// What is told of a request whose claim brought no verdict.
-    fn unchecked_claim(&self, request: RequestId) -> Outcome {
+    /// The outcome of a request whose claim got no usable reply.
+    fn unresolved_claim_outcome(&self, request: RequestId) -> Outcome {
         match self.requests.get(&request).map(|open| &open.origin) {
             Some(Origin::Call {
                 claim: Some(hold), ..
-            }) => hold.unchecked.clone(),
+            }) => hold.fallback_outcome.clone(),
             _ => Outcome::Unknown,
         }
     }
 
-    /// A claim was given up before its answer: nothing was sent under it. If it
-    /// is granted later it is released then.
-    pub(super) fn claim_given_up(
-        &mut self,
-        now_ms: u64,
-        request: RequestId,
-        out: &mut Vec<Effect>,
-    ) {
-        self.claims_given_up.insert(request);
-        let outcome = self.unchecked_claim(request);
+    /// Gives up a claim that got no reply in time. Nothing was sent under it; if it is
+    /// granted later, it is released then.
+    pub(super) fn abandon_claim(&mut self, now_ms: u64, request: RequestId, out: &mut Vec<Effect>) {
+        self.abandoned_claims.insert(request);
+        let outcome = self.unresolved_claim_outcome(request);
         self.drop_claim(request);
         self.finish_call(now_ms, request, outcome, out);
     }
 
-    /// Answers calls that wait for a key which is settled now, or for too long.
+    /// Answers calls whose key is settled by now, or which have waited until their
+    /// deadline.
     pub(super) fn settle_waiters(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         if self.waiters.is_empty() {
             return;
--- a/src/entry/node/leader.rs
+++ b/src/entry/node/leader.rs
@@ -1,5 +1,5 @@
-//! What only the leader does: settle entry instances that are gone, give out
-//! patient jobs, and run the controller of the fleet.
+//! The leader's duties: declare silent entry instances lost, assign patient jobs, and
+//! run the fleet controller.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,29 +10,29 @@
 use crate::state::{Change, JobId};
 
 use super::super::Effect;
-use super::{Node, Purpose, SYSTEM_PATIENCE_MS};
+use super::{Node, Purpose, SYSTEM_PROPOSAL_TIMEOUT_MS};
 
-/// Silence after which an entry instance counts as lost: its claims are unknown
-/// from then on and its jobs go to others. Longer than any election or pause of
-/// a healthy process, as what it settles stays settled.
-const ENTRY_LOST_MS: u64 = 10_000;
-/// How often the leader looks at the fleet and the jobs.
-const ROUND_MS: u64 = 100;
-/// Jobs given out in one round, so that a thousand waiting ones do not crowd
-/// everything else out of the log.
-const ASSIGN_MAX: usize = 64;
-/// Jobs one entry instance may hold at once: more than its share of the slots
-/// of today's pools, few enough that a lost one has little to hand on.
-const OWNED_MAX: usize = 256;
+/// Silence after which an entry instance is declared lost: its claims become unknown
+/// and its jobs go to others. Longer than any election or pause of a healthy process,
+/// as the declaration cannot be undone.
+const ENTRY_LOST_AFTER_MS: u64 = 10_000;
+/// Interval between rounds of the leader, in milliseconds.
+const ROUND_INTERVAL_MS: u64 = 100;
+/// Jobs assigned in one round, so that a thousand waiting jobs do not crowd everything
+/// else out of the log.
+const MAX_ASSIGNMENTS_PER_ROUND: usize = 64;
+/// Jobs one entry instance may own at once: more than its share of the slots of today's
+/// pools, few enough that losing it leaves little to reassign.
+const MAX_JOBS_PER_ENTRY: usize = 256;
 
-/// The leader's own memory; a new leader starts with none of it.
+/// State that only the leader holds; a new leader starts without it.
 #[derive(Debug)]
 pub(super) struct Leader {
     controller: Controller,
     next_round_ms: u64,
     since_ms: u64,
-    assigned: BTreeMap<JobId, u64>,
-    turn: usize,
+    proposed_assignments: BTreeMap<JobId, u64>,
+    next_owner: usize,
 }
 
 impl Leader {
@@ -41,15 +41,15 @@
             controller,
             next_round_ms: now_ms,
             since_ms: now_ms,
-            assigned: BTreeMap::new(),
-            turn: 0,
+            proposed_assignments: BTreeMap::new(),
+            next_owner: 0,
         }
     }
 }
 
 impl Node {
-    /// One round of the leader's duties, if this entry instance leads.
-    pub(super) fn lead(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+    /// Runs one round of the leader's duties, if this entry instance leads.
+    pub(super) fn run_leader_duties(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         let status = self.replica.status(now_ms);
         if status.role != Role::Leader || !status.fresh {
             self.leader = None;
@@ -61,7 +61,7 @@
             Leader::new(Controller::new(settings, now_ms), now_ms)
         });
         if leader.next_round_ms <= now_ms {
-            leader.next_round_ms = now_ms + ROUND_MS;
+            leader.next_round_ms = now_ms + ROUND_INTERVAL_MS;
             self.settle_lost_entries(now_ms, &leader, out);
             self.assign_jobs(now_ms, &mut leader, out);
             self.run_controller(now_ms, &mut leader, out);
@@ -75,25 +75,33 @@
             let Some(peer) = self.peers.get(name) else {
                 continue;
             };
-            // A new leader may not have heard a healthy peer yet.
+            // A new leader may not have heard from a healthy peer yet.
             let silent_ms = peer.silent_ms(now_ms).min(now_ms - leader.since_ms);
-            if !entry.lost && silent_ms >= ENTRY_LOST_MS {
+            if !entry.lost && silent_ms >= ENTRY_LOST_AFTER_MS {
                 lost.push((name.clone(), entry.incarnation));
             }
         }
         for (entry, incarnation) in lost {
-            if self.lost_proposed.get(&entry) == Some(&incarnation) {
+            if self.proposed_losses.get(&entry) == Some(&incarnation) {
                 continue;
             }
-            tracing::warn!("leader: {entry} is lost, what it had in flight is settled");
-            self.lost_proposed.insert(entry.clone(), incarnation);
+            tracing::warn!("leader: {entry} is lost, settling its claims and jobs");
+            self.proposed_losses.insert(entry.clone(), incarnation);
             let change = Change::EntryLost { entry, incarnation };
-            self.open_proposal(now_ms, change, Purpose::System, SYSTEM_PATIENCE_MS, out);
+            self.open_proposal(
+                now_ms,
+                change,
+                Purpose::System,
+                SYSTEM_PROPOSAL_TIMEOUT_MS,
+                out,
+            );
         }
     }
 
     fn assign_jobs(&mut self, now_ms: u64, leader: &mut Leader, out: &mut Vec<Effect>) {
-        leader.assigned.retain(|_, until_ms| *until_ms > now_ms);
+        leader
+            .proposed_assignments
+            .retain(|_, until_ms| *until_ms > now_ms);
         let owners = self.owners();
         if owners.is_empty() {
             return;
@@ -101,35 +109,43 @@
         let ready: Vec<_> = self
             .state
             .ready_jobs()
-            .filter(|job| !leader.assigned.contains_key(&job.id))
-            .take(ASSIGN_MAX)
+            .filter(|job| !leader.proposed_assignments.contains_key(&job.id))
+            .take(MAX_ASSIGNMENTS_PER_ROUND)
             .map(|job| (job.id.clone(), job.fence))
             .collect();
         for (job, fence) in ready {
-            leader.turn += 1;
-            let (owner, incarnation) = owners[leader.turn % owners.len()].clone();
+            leader.next_owner += 1;
+            let (owner, incarnation) = owners[leader.next_owner % owners.len()].clone();
             leader
-                .assigned
-                .insert(job.clone(), now_ms + SYSTEM_PATIENCE_MS);
+                .proposed_assignments
+                .insert(job.clone(), now_ms + SYSTEM_PROPOSAL_TIMEOUT_MS);
             let change = Change::JobAssign {
                 job,
                 fence,
                 owner,
                 incarnation,
             };
-            self.open_proposal(now_ms, change, Purpose::System, SYSTEM_PATIENCE_MS, out);
+            self.open_proposal(
+                now_ms,
+                change,
+                Purpose::System,
+                SYSTEM_PROPOSAL_TIMEOUT_MS,
+                out,
+            );
         }
     }
 
-    /// Entry instances that may be given jobs: heard, not stopping, not full.
+    /// Entry instances that may be assigned jobs: heard from, not stopping, below the
+    /// limit.
     fn owners(&self) -> Vec<(EntryName, u64)> {
         let me = &self.settings.me;
         self.state
             .entries()
             .iter()
             .filter(|(name, entry)| {
-                // A start that is over runs nothing: one that restarted a moment
-                // ago is heard before the state knows its new start.
+                // An incarnation that has ended runs nothing: an entry instance that
+                // has just restarted is heard before the replicated state holds its new
+                // incarnation.
                 let alive = if *name == me {
                     !self.is_stopping() && entry.incarnation == self.settings.incarnation
                 } else {
@@ -139,7 +155,7 @@
                 };
                 alive
                     && !entry.lost
-                    && self.state.jobs_owned(name, entry.incarnation).count() < OWNED_MAX
+                    && self.state.jobs_owned(name, entry.incarnation).count() < MAX_JOBS_PER_ENTRY
             })
             .map(|(name, entry)| (name.clone(), entry.incarnation))
             .collect()
@@ -153,15 +169,15 @@
         for action in actions {
             match action {
                 ControllerAction::Propose(command) => self.change_fleet(now_ms, command, out),
-                // Orders reach an upstream with the answer to its announcement,
-                // read off the replicated state at every entry instance.
+                // Orders reach an upstream in the reply to its announcement; every
+                // entry instance derives them from the replicated state.
                 ControllerAction::Order { .. } => {}
             }
         }
     }
 
-    /// Instances that fail what they are given, as the dispatcher here found.
-    fn sick_upstreams(&self, now_ms: u64) -> BTreeSet<InstanceName> {
+    /// Instances that the dispatcher here has ejected because their attempts fail.
+    fn ejected_upstreams(&self, now_ms: u64) -> BTreeSet<InstanceName> {
         let status = self.dispatcher.status(now_ms);
         status
             .upstreams
@@ -172,7 +188,7 @@
     }
 
     fn observed(&self, now_ms: u64) -> Observed {
-        let sick = self.sick_upstreams(now_ms);
+        let sick = self.ejected_upstreams(now_ms);
         let instances = self
             .directory
             .iter()
--- a/src/entry/node/log.rs
+++ b/src/entry/node/log.rs
@@ -1,12 +1,12 @@
-//! The replicated log: what is proposed, what is applied, and to whom its
-//! replies belong.
+//! The replicated log: proposes commands, applies committed ones and passes replies to
+//! whoever proposed them.
 
 use crate::consensus::{self, Action, Input};
 use crate::load::{self, View};
 use crate::state::{Change, ClaimReply, Command, CommandId, Reply, State};
 
 use super::super::{Effect, OperatorAnswer, PeerMessage};
-use super::{LONG_PATIENCE_MS, Node, Purpose};
+use super::{COMPLETION_PROPOSAL_TIMEOUT_MS, Node, Purpose};
 
 impl Node {
     pub(super) fn open_proposal(
@@ -14,7 +14,7 @@
         now_ms: u64,
         change: Change,
         purpose: Purpose,
-        patience_ms: u64,
+        timeout_ms: u64,
         out: &mut Vec<Effect>,
     ) {
         let command = Command {
@@ -28,17 +28,17 @@
         };
         self.next_sequence += 1;
         self.proposals
-            .open(now_ms, command.clone(), purpose, patience_ms);
+            .open(now_ms, command.clone(), purpose, timeout_ms);
         self.propose(now_ms, &command, out);
     }
 
     pub(super) fn propose(&mut self, now_ms: u64, command: &Command, out: &mut Vec<Effect>) {
         let command = crate::codec::encode(command);
-        self.log(now_ms, Input::Propose { command }, out);
+        self.drive_replica(now_ms, Input::Propose { command }, out);
     }
 
-    /// Gives the replica an input and carries out what it wants.
-    pub(super) fn log(&mut self, now_ms: u64, input: Input, out: &mut Vec<Effect>) {
+    /// Passes an input to the replica and carries out the resulting actions.
+    pub(super) fn drive_replica(&mut self, now_ms: u64, input: Input, out: &mut Vec<Effect>) {
         let mut changed = false;
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
@@ -67,7 +67,7 @@
         }
         if changed {
             let view = self.view();
-            self.load(now_ms, load::Input::View(view), out);
+            self.drive_dispatcher(now_ms, load::Input::View(view), out);
         }
     }
 
@@ -89,35 +89,38 @@
             Ok(state) => {
                 self.state = state;
                 self.applied_index = index;
-                let mine: Vec<_> = self
+                let own_jobs: Vec<_> = self
                     .state
                     .jobs_owned(&self.settings.me, self.settings.incarnation)
                     .map(|job| job.id.clone())
                     .collect();
-                self.forget_begun();
-                for job in mine {
-                    self.begin_job(now_ms, &job, out);
+                self.prune_started_jobs();
+                for job in own_jobs {
+                    self.start_job_once(now_ms, &job, out);
                 }
                 self.settle_waiters(now_ms, out);
             }
-            Err(err) => tracing::error!("log: a snapshot cannot be read: {err}"),
+            Err(err) => tracing::error!("log: a snapshot cannot be decoded: {err}"),
         }
     }
 
-    /// Applies an entry; `true` if the view of the dispatcher may have changed.
+    /// Applies an entry; returns `true` if the dispatcher's view may have changed.
     fn apply(&mut self, now_ms: u64, entry: &consensus::Entry, out: &mut Vec<Effect>) -> bool {
         if entry.command.is_empty() {
             return false;
         }
         let Ok(command) = crate::codec::decode::<Command>(&entry.command) else {
-            tracing::error!("log: entry {} cannot be read and is left out", entry.index);
+            tracing::error!(
+                "log: entry {} cannot be decoded and is skipped",
+                entry.index
+            );
             return false;
         };
         let reply = self.state.apply(&command);
-        let mine = command.id.entry == self.settings.me
+        let is_own = command.id.entry == self.settings.me
             && command.id.incarnation == self.settings.incarnation;
-        if mine {
-            self.replied(now_ms, entry.index, &command, reply.clone(), out);
+        if is_own {
+            self.handle_reply(now_ms, entry.index, &command, reply.clone(), out);
         }
         self.follow_up(now_ms, entry.index, &command, &reply, out);
         matches!(
@@ -126,8 +129,8 @@
         )
     }
 
-    /// Hands a reply to whoever waits for it.
-    fn replied(
+    /// Passes a reply to whoever waits for it.
+    fn handle_reply(
         &mut self,
         now_ms: u64,
         index: u64,
@@ -136,23 +139,24 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(purpose) = self.proposals.applied(&command.id) else {
-            return self.unexpected(now_ms, command, &reply, out);
+            return self.release_abandoned_claim(now_ms, command, &reply, out);
         };
         match purpose {
             Purpose::System => {}
-            Purpose::Operator(id) => self.operator_replied(now_ms, id, index, reply, out),
+            Purpose::Operator(id) => self.handle_operator_reply(now_ms, id, index, reply, out),
             Purpose::Claim(request) => {
-                let reply = self.kept_reply(command, reply);
-                self.claimed(now_ms, request, reply, out);
+                let reply = self.restore_claim_answer(command, reply);
+                self.handle_claim_reply(now_ms, request, reply, out);
             }
-            Purpose::Store(id) => self.stored(id, out),
-            Purpose::Accept(id) => self.accepted(id, reply, out),
-            Purpose::CancelJob(id) => self.job_cancelled(id, &reply, out),
+            Purpose::Store(id) => self.answer_stored(id, out),
+            Purpose::Accept(id) => self.answer_acceptance(id, reply, out),
+            Purpose::CancelJob(id) => self.answer_job_cancel(id, &reply, out),
         }
     }
 
-    /// A reply too large to be kept beside its number is read off the state.
-    fn kept_reply(&self, command: &Command, reply: Reply) -> Reply {
+    /// Returns the claim's reply; one too large to be kept with its command id is
+    /// rebuilt from the state.
+    fn restore_claim_answer(&self, command: &Command, reply: Reply) -> Reply {
         use crate::state::ClaimPhase;
         if reply != Reply::Duplicate {
             return reply;
@@ -169,27 +173,39 @@
         }
     }
 
-    /// A claim that was given up is granted after all: nothing was sent under
-    /// it, so the key is set free. Without this it would be held until this
-    /// process ends.
+    /// Releases the key of a claim that was given up and is granted after all: nothing
+    /// was sent under it, and without this the key would be held until this process
+    /// ends.
     ///
-    /// Only one that was given up: the log may hold a claim twice, and the second
-    /// comes when the request of the first is under way. Set free then, the key
-    /// runs again for a caller that sends it again.
-    fn unexpected(&mut self, now_ms: u64, command: &Command, reply: &Reply, out: &mut Vec<Effect>) {
+    /// Only claims that were given up are released. The log may hold a claim twice, and
+    /// the second copy is applied while the request of the first is in flight; if it
+    /// released the key, the request would run again for a caller that resends it.
+    fn release_abandoned_claim(
+        &mut self,
+        now_ms: u64,
+        command: &Command,
+        reply: &Reply,
+        out: &mut Vec<Effect>,
+    ) {
         if let Change::Claim { key, request, .. } = &command.change
             && let Reply::Claim(ClaimReply::Granted { fence }) = reply
-            && self.claims_given_up.remove(request)
+            && self.abandoned_claims.remove(request)
         {
             let change = Change::ClaimRelease {
                 key: key.clone(),
                 fence: *fence,
             };
-            self.open_proposal(now_ms, change, Purpose::System, LONG_PATIENCE_MS, out);
+            self.open_proposal(
+                now_ms,
+                change,
+                Purpose::System,
+                COMPLETION_PROPOSAL_TIMEOUT_MS,
+                out,
+            );
         }
     }
 
-    /// What an applied command asks of this entry instance.
+    /// Does what an applied command requires of this entry instance.
     fn follow_up(
         &mut self,
         now_ms: u64,
@@ -201,30 +217,30 @@
         match &command.change {
             Change::JobAssign { job, owner, .. } if *owner == self.settings.me => {
                 if matches!(reply, Reply::Job(crate::state::JobReply::Assigned { .. })) {
-                    self.begin_job(now_ms, job, out);
+                    self.start_job_once(now_ms, job, out);
                 }
             }
             Change::PutRows { .. }
             | Change::Fleet {
                 change: Some(_), ..
-            } => self.confirm(index, command),
+            } => self.confirm_in_force(index, command),
             Change::JobDone { job, .. }
             | Change::JobNotRun { job, .. }
             | Change::JobLost { job, .. }
-            | Change::JobRefused { job, .. } => self.forget_begun_job(job),
+            | Change::JobRefused { job, .. } => self.prune_started_job(job),
             Change::ClaimAnswer { .. }
             | Change::ClaimRelease { .. }
             | Change::ClaimUnknown { .. } => self.settle_waiters(now_ms, out),
             Change::EntryLost { .. } | Change::EntrySeen { .. } => {
-                self.forget_begun();
+                self.prune_started_jobs();
                 self.settle_waiters(now_ms, out);
             }
             _ => {}
         }
     }
 
-    /// Tells the proposer of an operator's change that it is in force here.
-    fn confirm(&mut self, index: u64, command: &Command) {
+    /// Tells the proposer of an operator's change that the change is in force here.
+    fn confirm_in_force(&mut self, index: u64, command: &Command) {
         if command.id.entry == self.settings.me {
             return;
         }
@@ -246,8 +262,8 @@
         }
     }
 
-    pub(super) fn given_up(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
-        for (_, purpose) in self.proposals.given_up(now_ms) {
+    pub(super) fn expire_proposals(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+        for (_, purpose) in self.proposals.take_expired(now_ms) {
             match purpose {
                 Purpose::System => {}
                 Purpose::Operator(id) => {
@@ -256,8 +272,8 @@
                     let answer = OperatorAnswer::Unknown(line.into());
                     out.push(Effect::AnswerOperator { id, answer });
                 }
-                Purpose::Claim(request) => self.claim_given_up(now_ms, request, out),
-                Purpose::Store(id) => self.stored(id, out),
+                Purpose::Claim(request) => self.abandon_claim(now_ms, request, out),
+                Purpose::Store(id) => self.answer_stored(id, out),
                 Purpose::Accept(id) | Purpose::CancelJob(id) => {
                     self.answer_call(id, crate::model::Outcome::Unknown, out);
                 }
--- a/src/entry/node/operators.rs
+++ b/src/entry/node/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: what they change and what they are shown.
+//! Requests of operators: changes, queries and explanations.
 
 use serde_json::{Value, json};
 
@@ -10,22 +10,22 @@
 use super::super::{Effect, OperatorAnswer, OperatorId, OperatorRequest, Subject};
 use super::{Node, Purpose};
 
-/// How long an operator's change is tried before the answer is `unknown`.
-const PATIENCE_MS: u64 = 5_000;
-/// How long the answer to an accepted change waits for it to be in force
-/// everywhere; entry instances that are cut off are named in the answer.
-const FORCE_WAIT_MS: u64 = 1_500;
+/// How long an operator's change is resent before the answer is `unknown`.
+const CHANGE_TIMEOUT_MS: u64 = 5_000;
+/// How long the answer to an accepted change waits until the change is in force
+/// everywhere. Entry instances that have not confirmed it are named in the answer.
+const IN_FORCE_WAIT_MS: u64 = 1_500;
 
-/// An accepted change that is not yet known to be in force everywhere.
+/// An accepted change that some entry instances have not confirmed yet.
 #[derive(Debug)]
-pub(super) struct Forcing {
+pub(super) struct UnconfirmedChange {
     id: OperatorId,
     index: u64,
     since_ms: u64,
 }
 
 impl Node {
-    pub(super) fn operator(
+    pub(super) fn handle_operator_request(
         &mut self,
         now_ms: u64,
         id: OperatorId,
@@ -35,7 +35,7 @@
         let answer = match request {
             OperatorRequest::Status => OperatorAnswer::Ok(json!(self.status(now_ms))),
             OperatorRequest::Metrics => OperatorAnswer::Metrics(Box::new(self.status(now_ms))),
-            OperatorRequest::Table => self.sheet(),
+            OperatorRequest::Table => self.table_sheet(),
             OperatorRequest::CheckTable { sheet } => self.check_table(&sheet),
             OperatorRequest::Pools => OperatorAnswer::Ok(self.pools_json()),
             OperatorRequest::Waves => OperatorAnswer::Ok(self.waves_json()),
@@ -59,18 +59,18 @@
                     };
                     return self.operator_change(now_ms, id, change, out);
                 }
-                // Refused in any case: print every wrong cell at once, also those
-                // that only the state shows.
+                // The table is refused in any case: report every wrong cell at once,
+                // also those that only the state reveals.
                 Err(_) => match table::review(&sheet[..], confirm_jump, &self.state) {
                     Ok(_) => OperatorAnswer::Refused(json!({ "refused": "send it again" })),
-                    Err(errors) => OperatorAnswer::Refused(errors_json(&errors)),
+                    Err(errors) => OperatorAnswer::Refused(cell_errors_json(&errors)),
                 },
             },
             OperatorRequest::Fleet {
                 change,
                 operator,
                 command,
-            } => match refuse_command(&command) {
+            } => match command_refusal(&command) {
                 None => {
                     let change = Change::Fleet {
                         change: Some(change),
@@ -92,11 +92,18 @@
         change: Change,
         out: &mut Vec<Effect>,
     ) {
-        self.open_proposal(now_ms, change, Purpose::Operator(id), PATIENCE_MS, out);
+        self.open_proposal(
+            now_ms,
+            change,
+            Purpose::Operator(id),
+            CHANGE_TIMEOUT_MS,
+            out,
+        );
     }
 
-    /// Answers an operator whose change was applied.
-    pub(super) fn operator_replied(
+    /// Answers an operator whose change was applied, or waits until it is in force
+    /// everywhere.
+    pub(super) fn handle_operator_reply(
         &mut self,
         now_ms: u64,
         id: OperatorId,
@@ -106,20 +113,20 @@
     ) {
         let refused = match reply {
             Reply::Accepted => {
-                self.forcing.push(Forcing {
+                self.unconfirmed_changes.push(UnconfirmedChange {
                     id,
                     index,
                     since_ms: now_ms,
                 });
-                return self.settle_force(now_ms, out);
+                return self.answer_confirmed_changes(now_ms, out);
             }
-            Reply::Rows(errors) => errors_json(&errors),
+            Reply::Rows(errors) => cell_errors_json(&errors),
             Reply::Fleet(refusal) => json!({ "refused": refusal.to_string() }),
             Reply::ChangeReused => json!({
                 "refused": "change id: it was used before for another change: send a new one"
             }),
             _ => {
-                let line = "the change was not recognised: send it again under the same id";
+                let line = "the reply to the change was not recognised: send it again under the same change id";
                 let answer = OperatorAnswer::Unknown(line.into());
                 return out.push(Effect::AnswerOperator { id, answer });
             }
@@ -129,11 +136,11 @@
     }
 
     /// Answers operators whose change is in force everywhere, or not in time.
-    pub(super) fn settle_force(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
-        for forcing in std::mem::take(&mut self.forcing) {
+    pub(super) fn answer_confirmed_changes(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+        for forcing in std::mem::take(&mut self.unconfirmed_changes) {
             let (mut in_force, behind) = self.split_by_index(forcing.index);
-            if !behind.is_empty() && now_ms < forcing.since_ms + FORCE_WAIT_MS {
-                self.forcing.push(forcing);
+            if !behind.is_empty() && now_ms < forcing.since_ms + IN_FORCE_WAIT_MS {
+                self.unconfirmed_changes.push(forcing);
                 continue;
             }
             in_force.push(self.settings.me.clone());
@@ -161,7 +168,7 @@
         (in_force, behind)
     }
 
-    fn sheet(&self) -> OperatorAnswer {
+    fn table_sheet(&self) -> OperatorAnswer {
         let mut sheet = Vec::new();
         match table::write(&mut sheet, self.state.rows()) {
             Ok(()) => OperatorAnswer::Sheet(sheet),
@@ -172,7 +179,7 @@
     fn check_table(&self, sheet: &[u8]) -> OperatorAnswer {
         match table::review(sheet, false, &self.state) {
             Ok(rows) => OperatorAnswer::Ok(json!({ "rows": rows.len() })),
-            Err(errors) => OperatorAnswer::Refused(errors_json(&errors)),
+            Err(errors) => OperatorAnswer::Refused(cell_errors_json(&errors)),
         }
     }
 
@@ -259,7 +266,7 @@
         match found {
             Some(value) => OperatorAnswer::Ok(value),
             None => OperatorAnswer::Refused(json!({
-                "refused": "nothing is known by this name: check it, and ask the entry \
+                "refused": "nothing with this name is known: check the name, and ask the entry \
                             instance that took the request"
             })),
         }
@@ -305,14 +312,14 @@
     json!(trail)
 }
 
-fn errors_json(errors: &[table::CellError]) -> Value {
+fn cell_errors_json(errors: &[table::CellError]) -> Value {
     let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     json!({ "errors": lines })
 }
 
-/// Changes that only the system itself may propose: they state what was proved
-/// or seen, not what someone wants.
-fn refuse_command(command: &FleetCommand) -> Option<&'static str> {
+/// Returns why an operator may not propose a command. Some commands are reserved for
+/// the system itself, as they record what was proved or observed.
+fn command_refusal(command: &FleetCommand) -> Option<&'static str> {
     match command {
         FleetCommand::PutPool { .. }
         | FleetCommand::RemovePool { .. }
--- a/src/entry/node/peers.rs
+++ b/src/entry/node/peers.rs
@@ -1,4 +1,4 @@
-//! Peers: what they say, what they are told, and when they count as gone.
+//! Peers: frames received and sent, gossip, and detection of gone peers.
 
 use crate::consensus;
 use crate::load;
@@ -8,7 +8,7 @@
 use super::Node;
 
 impl Node {
-    pub(super) fn peer(
+    pub(super) fn handle_peer_frame(
         &mut self,
         now_ms: u64,
         from: &EntryName,
@@ -18,8 +18,9 @@
         let Some(peer) = self.peers.get_mut(from) else {
             return;
         };
-        // Any other start, not only a higher one: it is made of the wall clock, and
-        // one that was set back must not shut the peer out.
+        // Any different incarnation counts as a restart, not only a higher one: it is
+        // made of the wall clock, and a clock that was set back must not shut the peer
+        // out.
         if frame.incarnation != peer.incarnation {
             peer.restarted(frame.incarnation);
         }
@@ -30,22 +31,22 @@
             match message {
                 PeerMessage::Log(message) => {
                     let from = from.clone();
-                    self.log(now_ms, consensus::Input::Message { from, message }, out);
+                    self.drive_replica(now_ms, consensus::Input::Message { from, message }, out);
                 }
                 PeerMessage::Gossip(gossip) => {
-                    self.hear_gossip(now_ms, from, frame.echo_ms, gossip, out);
+                    self.handle_gossip(now_ms, from, frame.echo_ms, gossip, out);
                 }
                 PeerMessage::InForce { index } => {
                     if let Some(peer) = self.peers.get_mut(from) {
                         peer.applied_index = peer.applied_index.max(index);
                     }
-                    self.settle_force(now_ms, out);
+                    self.answer_confirmed_changes(now_ms, out);
                 }
             }
         }
     }
 
-    fn hear_gossip(
+    fn handle_gossip(
         &mut self,
         now_ms: u64,
         from: &EntryName,
@@ -55,27 +56,28 @@
     ) {
         if let Some(peer) = self.peers.get_mut(from) {
             peer.applied_index = peer.applied_index.max(gossip.applied_index);
-            peer.counted_index = gossip.applied_index;
+            peer.in_flight_index = gossip.applied_index;
             peer.in_flight = gossip.in_flight.iter().cloned().collect();
             peer.stopping = gossip.stopping;
         }
-        // Without an echo nothing bounds how long the frame was under way, and a
+        // Without an echo nothing bounds how long the frame was in transit, and a
         // report of unknown age could bring back an upstream that has left.
         if let Some(echo_ms) = echo_ms {
             for (report, age_ms) in &gossip.reports {
                 let heard_ms = echo_ms.saturating_sub(*age_ms).min(now_ms);
-                self.hear(now_ms, report, heard_ms, false, out);
+                self.record_report(now_ms, report, heard_ms, false, out);
             }
         }
         let input = load::Input::PeerLoad {
             peer: from.clone(),
             in_flight: gossip.claimed,
         };
-        self.load(now_ms, input, out);
+        self.drive_dispatcher(now_ms, input, out);
     }
 
-    /// Queues what was heard from upstreams since the last time, and the load.
-    pub(super) fn gossip(&mut self, now_ms: u64) {
+    /// Queues gossip for every peer: the reports received directly since the last
+    /// gossip, and the load.
+    pub(super) fn queue_gossip(&mut self, now_ms: u64) {
         let since_ms = self.last_gossip_ms;
         let reports = self
             .directory
@@ -104,7 +106,7 @@
         }
     }
 
-    pub(super) fn note_gone_peers(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+    pub(super) fn detect_gone_peers(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         let limit_ms = self.settings.peer_gone_ms;
         let gone: Vec<EntryName> = self
             .peers
@@ -116,13 +118,13 @@
             })
             .collect();
         for name in gone {
-            tracing::info!("peers: {name} is not heard from");
-            self.load(now_ms, load::Input::PeerGone(name), out);
+            tracing::info!("peers: no message from {name}, it counts as gone");
+            self.drive_dispatcher(now_ms, load::Input::PeerGone(name), out);
         }
     }
 
-    /// Turns what is queued into one frame a peer.
-    pub(super) fn flush(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+    /// Turns the queued messages into one frame per peer.
+    pub(super) fn flush_outbox(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         for (to, messages) in std::mem::take(&mut self.outbox) {
             let echo_ms = self.peers.get(&to).and_then(|peer| peer.newest_sent_ms);
             let frame = PeerFrame {
--- a/src/entry/node/settings.rs
+++ b/src/entry/node/settings.rs
@@ -1,4 +1,4 @@
-//! What an entry instance is told at its start, and what its parts get of it.
+//! Settings of an entry instance, and the settings of its parts derived from them.
 
 use std::collections::BTreeMap;
 
@@ -6,46 +6,49 @@
 use crate::maintenance::ControllerSettings;
 use crate::model::{EntryName, ZoneName};
 
-/// What an entry instance is told at its start.
+/// Settings of an entry instance.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// Its name.
+    /// Name of this entry instance.
     pub me: EntryName,
-    /// Counts its starts; any number that never comes again for this name.
+    /// Identifies this start of the process; a value that is never used again for this
+    /// name.
     pub incarnation: u64,
-    /// Its availability zone.
+    /// Availability zone of this entry instance.
     pub zone: ZoneName,
     /// All entry instances of the system, this one included, with their zones.
     pub members: BTreeMap<EntryName, ZoneName>,
-    /// The entry instances that vote when the cluster is founded.
+    /// The initial voters of the cluster.
     pub voters: Vec<EntryName>,
-    /// How long an upstream's report counts.
+    /// Lease granted by an upstream's report, in milliseconds.
     pub upstream_lease_ms: u64,
-    /// How often an upstream reports.
+    /// Interval between reports of an upstream, in milliseconds.
     pub refresh_ms: u64,
-    /// How often peers hear of upstreams and load.
+    /// Interval between gossip messages about upstreams and load, in milliseconds.
     pub gossip_ms: u64,
-    /// After what silence a peer counts as gone.
+    /// Silence after which a peer counts as gone, in milliseconds.
     pub peer_gone_ms: u64,
-    /// How often the log's leader shows that it is alive.
+    /// Interval between heartbeats of the log's leader, in milliseconds.
     pub heartbeat_ms: u64,
-    /// How long without a leader before an election.
+    /// Time without a leader before an election starts, in milliseconds.
     pub election_timeout_ms: u64,
-    /// How long news from the leader count as recent.
+    /// How long the view counts as fresh after the leader's last message, in
+    /// milliseconds.
     pub view_lease_ms: u64,
-    /// Entries between snapshots.
+    /// Number of log entries between snapshots.
     pub snapshot_every: u64,
-    /// How long calls are still taken after a planned stop began, so that the
-    /// balancer learns of it before it meets refusals.
+    /// How long calls are still accepted after a planned stop began, in milliseconds,
+    /// so that the balancer learns of it before it meets refusals.
     pub stop_notice_ms: u64,
-    /// Longest time a planned stop waits for what is in flight.
+    /// Longest time a planned stop waits for requests in flight, in milliseconds.
     pub stop_grace_ms: u64,
-    /// Seeds random choices; must differ from start to start.
+    /// Seed of random choices; must differ between starts.
     pub seed: u64,
 }
 
 impl Default for NodeSettings {
-    /// For zones a millisecond apart; names and members are left empty.
+    /// Defaults for zones with about a millisecond of latency between them. Names and
+    /// members are placeholders.
     fn default() -> Self {
         Self {
             me: EntryName::from("entry"),
@@ -55,17 +58,18 @@
             voters: Vec::new(),
             upstream_lease_ms: 3_000,
             refresh_ms: 1_000,
-            // Five times a report's period: news of load are late by it.
+            // Five times as often as reports: peers learn of load this much later.
             gossip_ms: 200,
-            // Ten times the period of gossip.
+            // Ten gossip intervals.
             peer_gone_ms: 2_000,
             heartbeat_ms: 100,
             election_timeout_ms: 600,
             // Ends before another leader can be elected: under 0.9 of the election
-            // timeout, as clocks may run apart by a tenth.
+            // timeout, as clock rates may differ by a tenth.
             view_lease_ms: 500,
             snapshot_every: 4_096,
-            // A balancer that looks every half second has seen it by then.
+            // A balancer that checks health every half second has seen the stop by
+            // then.
             stop_notice_ms: 1_000,
             stop_grace_ms: 20_000,
             seed: 0,
--- a/src/entry/node/status.rs
+++ b/src/entry/node/status.rs
@@ -1,4 +1,4 @@
-//! What an entry instance shows of itself: its health and its status.
+//! Health and status of an entry instance.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,17 @@
 use super::super::{Effect, EntryStatus, Health, PeerStatus, PoolStatus};
 use super::Node;
 
-/// How long the log may be without a leader before what needs it is refused at
-/// once: longer than an election, so that one does not turn requests away.
+/// Time without a leader after which calls that need the log are refused at once:
+/// longer than an election, so that an election does not refuse requests.
 const CUT_OFF_AFTER_MS: u64 = 2_000;
 
 impl Node {
-    /// Whether the log has been without a leader for long.
+    /// Whether the log has been without a leader for longer than [`CUT_OFF_AFTER_MS`].
     pub(super) fn is_cut_off(&self, now_ms: u64) -> bool {
-        self.fresh_ms + CUT_OFF_AFTER_MS < now_ms
+        self.last_fresh_ms + CUT_OFF_AFTER_MS < now_ms
     }
 
-    pub(super) fn show_health(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+    pub(super) fn publish_health(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         let health = self.health(now_ms);
         if self.health != Some(health) {
             tracing::info!("entry: {} is {health}", self.settings.me);
@@ -30,7 +30,7 @@
     fn health(&self, now_ms: u64) -> Health {
         if self.is_stopping() {
             Health::Draining
-        } else if !self.knows_state {
+        } else if !self.is_state_known {
             Health::Starting
         } else if self.is_cut_off(now_ms) {
             Health::CutOff
@@ -39,10 +39,11 @@
         }
     }
 
-    /// Whom a draining instance waits for, as far as this entry instance knows.
+    /// Entry instances that still have attempts in flight on a draining instance, or
+    /// are silent, as far as this one knows.
     pub(super) fn waits_for(&self, instance: &InstanceName) -> Vec<String> {
-        let own = self.in_flight.get(instance).copied();
-        let mine = own.map(|n| format!("{}: {n} in flight", self.settings.me));
+        let own_count = self.in_flight.get(instance).copied();
+        let own_line = own_count.map(|n| format!("{}: {n} in flight", self.settings.me));
         let peers = self.peers.iter().filter_map(|(name, peer)| {
             if peer.gone {
                 return Some(format!("{name}: silent"));
@@ -50,10 +51,10 @@
             let count = peer.in_flight.get(instance)?;
             Some(format!("{name}: {count} in flight"))
         });
-        mine.into_iter().chain(peers).collect()
+        own_line.into_iter().chain(peers).collect()
     }
 
-    /// How the system is, as this entry instance sees it.
+    /// Returns the status of the system as this entry instance sees it.
     pub fn status(&self, now_ms: u64) -> EntryStatus {
         let lease_ms = self.settings.upstream_lease_ms;
         let alive = |heard_ms: u64| heard_ms + lease_ms > now_ms;
@@ -75,8 +76,8 @@
                 .count(),
             instances: self.state.fleet().instances().len(),
             open_requests: self.requests.len(),
-            in_flight: self.attempts_on.len(),
-            attempts: self.attempts,
+            in_flight: self.attempt_instances.len(),
+            attempts: self.attempts_sent,
             open_proposals: self.proposals.len(),
             outcomes: self.counts.clone(),
             waiting: BTreeMap::new(),
--- a/src/entry/node/stop.rs
+++ b/src/entry/node/stop.rs
@@ -1,4 +1,5 @@
-//! A planned stop: callers get notice, then what is open is finished.
+//! Planned stop: calls are accepted until the notice period ends, then open requests
+//! are finished.
 
 use super::super::Effect;
 use super::Node;
@@ -9,12 +10,13 @@
         self.stop_ms.is_some()
     }
 
-    /// Whether the notice of a planned stop is over.
+    /// Whether the notice period of a planned stop is over, so that new calls are
+    /// refused.
     pub(super) fn refuses_new(&self) -> bool {
         self.notice_over
     }
 
-    pub(super) fn end_stop(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+    pub(super) fn advance_stop(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         let Some(since_ms) = self.stop_ms else {
             return;
         };
@@ -25,12 +27,12 @@
             self.notice_over = true;
             out.push(Effect::CloseCallers);
         }
-        let idle = self.requests.is_empty()
-            && self.storing.is_empty()
+        let is_idle = self.requests.is_empty()
+            && self.pending_stores.is_empty()
             && self.waiters.is_empty()
-            && self.held.is_empty()
+            && self.held_jobs.is_empty()
             && self.proposals.is_empty();
-        if idle || now_ms >= since_ms + self.settings.stop_grace_ms {
+        if is_idle || now_ms >= since_ms + self.settings.stop_grace_ms {
             self.stopped = true;
             out.push(Effect::Stopped);
         }
--- a/src/entry/node/upstreams.rs
+++ b/src/entry/node/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams: what they announce, and what they are told.
+//! Announcements of upstreams and the orders they get in reply.
 
 use crate::load::Input;
 use crate::maintenance::FleetCommand;
@@ -7,54 +7,54 @@
 use crate::upstream_api::{AnnounceReply, Order};
 
 use super::super::{CallId, Effect};
-use super::{Node, Purpose, SYSTEM_PATIENCE_MS};
+use super::{Node, Purpose, SYSTEM_PROPOSAL_TIMEOUT_MS};
 
 impl Node {
-    pub(super) fn announced(
+    pub(super) fn handle_announcement(
         &mut self,
         now_ms: u64,
         id: CallId,
         report: &UpstreamReport,
         out: &mut Vec<Effect>,
     ) {
-        self.hear(now_ms, report, now_ms, true, out);
+        self.record_report(now_ms, report, now_ms, true, out);
         let instance = self
             .state
             .fleet()
             .instances()
             .get(&report.instance)
             .cloned();
-        self.introduce(now_ms, report, instance.is_some(), out);
-        let told = instance.filter(|i| self.may_tell(now_ms, i, report));
+        self.propose_introduction(now_ms, report, instance.is_some(), out);
+        let sendable = instance.filter(|i| self.may_send_order(now_ms, i, report));
         let reply = AnnounceReply {
             lease_ms: self.settings.upstream_lease_ms,
             refresh_ms: self.settings.refresh_ms,
-            pool: told.as_ref().map(|i| i.pool.clone()),
-            pool_epoch: told.as_ref().map_or(report.pool_epoch, |i| i.epoch),
-            order: told.as_ref().map_or(Order::Serve, order_for),
+            pool: sendable.as_ref().map(|i| i.pool.clone()),
+            pool_epoch: sendable.as_ref().map_or(report.pool_epoch, |i| i.epoch),
+            order: sendable.as_ref().map_or(Order::Serve, order_for),
         };
         out.push(Effect::AnswerAnnounce { id, reply });
     }
 
-    /// Whether what is known here of an instance may be told to its upstream.
+    /// Whether the pool, epoch and order known here may be sent to an upstream.
     ///
-    /// An entry instance that was cut off before a move still knows the old
-    /// epoch. An upstream that restarted right after the move has forgotten the
-    /// new one; told the old, it would run requests of both pools. So without
-    /// recent news an upstream is told no epoch but the one it says itself.
-    fn may_tell(&self, now_ms: u64, instance: &Instance, report: &UpstreamReport) -> bool {
+    /// An entry instance that was cut off before a move still knows the old epoch. An
+    /// upstream that restarted right after the move has forgotten the new one; if it
+    /// were told the old one, it would run requests of both pools. So without a fresh
+    /// view, an upstream is told an epoch only if it reports that epoch itself.
+    fn may_send_order(&self, now_ms: u64, instance: &Instance, report: &UpstreamReport) -> bool {
         self.replica.status(now_ms).fresh || instance.epoch == report.pool_epoch
     }
 
-    /// Brings a new upstream, or a changed capacity, into the replicated state.
-    fn introduce(
+    /// Proposes a new upstream, or a changed capacity, for the replicated state.
+    fn propose_introduction(
         &mut self,
         now_ms: u64,
         report: &UpstreamReport,
         known: bool,
         out: &mut Vec<Effect>,
     ) {
-        if report.standing != Standing::Serving || self.is_introducing(now_ms, report) {
+        if report.standing != Standing::Serving || self.debounce_introduction(now_ms, report) {
             return;
         }
         if !known {
@@ -70,30 +70,37 @@
                 instance: report.instance.clone(),
                 capacity: report.capacity,
             };
-            self.open_proposal(now_ms, change, Purpose::System, SYSTEM_PATIENCE_MS, out);
+            self.open_proposal(
+                now_ms,
+                change,
+                Purpose::System,
+                SYSTEM_PROPOSAL_TIMEOUT_MS,
+                out,
+            );
         }
     }
 
-    /// Whether it was proposed a moment ago: every entry instance of the zone
-    /// hears the upstream every second, and each proposal costs a place in the
-    /// log.
-    fn is_introducing(&mut self, now_ms: u64, report: &UpstreamReport) -> bool {
-        let again_ms = now_ms + SYSTEM_PATIENCE_MS;
-        match self.introduced.get_mut(&report.instance) {
+    /// Whether this upstream was proposed recently; if not, records that it is now.
+    /// Every entry instance of the zone hears the upstream each second, and each
+    /// proposal costs an entry in the log.
+    fn debounce_introduction(&mut self, now_ms: u64, report: &UpstreamReport) -> bool {
+        let again_ms = now_ms + SYSTEM_PROPOSAL_TIMEOUT_MS;
+        match self.introduction_retry_ms.get_mut(&report.instance) {
             Some(until_ms) if *until_ms > now_ms => true,
             Some(until_ms) => {
                 *until_ms = again_ms;
                 false
             }
             None => {
-                self.introduced.insert(report.instance.clone(), again_ms);
+                self.introduction_retry_ms
+                    .insert(report.instance.clone(), again_ms);
                 false
             }
         }
     }
 
-    /// Takes in a report, heard directly or through a peer.
-    pub(super) fn hear(
+    /// Records a report, received directly or through a peer.
+    pub(super) fn record_report(
         &mut self,
         now_ms: u64,
         report: &UpstreamReport,
@@ -108,7 +115,7 @@
             report,
             lease_until_ms: heard_ms + self.settings.upstream_lease_ms,
         };
-        self.load(now_ms, input, out);
+        self.drive_dispatcher(now_ms, input, out);
     }
 
     pub(super) fn change_fleet(
@@ -122,12 +129,18 @@
             by: self.settings.me.to_string(),
             command,
         };
-        self.open_proposal(now_ms, change, Purpose::System, SYSTEM_PATIENCE_MS, out);
+        self.open_proposal(
+            now_ms,
+            change,
+            Purpose::System,
+            SYSTEM_PROPOSAL_TIMEOUT_MS,
+            out,
+        );
     }
 }
 
-/// What an instance is to do, read off the replicated state alone, so that every
-/// entry instance gives the same order.
+/// Returns the order for an instance. It depends only on the replicated state, so that
+/// every entry instance gives the same order.
 fn order_for(instance: &Instance) -> Order {
     match &instance.duty {
         Duty::Serving => Order::Serve,
--- a/src/entry/open.rs
+++ b/src/entry/open.rs
@@ -8,7 +8,7 @@
 
 /// A request between its arrival at the dispatcher and its answer.
 #[derive(Debug)]
-pub(super) struct Open {
+pub(super) struct OpenRequest {
     /// Who waits for its answer.
     pub origin: Origin,
     /// The service.
@@ -28,7 +28,7 @@
     /// When its answer is useless.
     pub deadline_ms: u64,
     /// Longest time for one attempt.
-    pub attempt_ms: u64,
+    pub attempt_timeout_ms: u64,
     /// The whole answer of an attempt, until the dispatcher says what counts.
     pub answer: Option<(AttemptId, u16, Vec<u8>)>,
     /// Whether the dispatcher has it.
@@ -64,13 +64,13 @@
     /// The granted fence, none until it is granted.
     pub fence: Option<Fence>,
     /// What the caller is told if the claim brings no verdict.
-    pub unchecked: Outcome,
+    pub fallback_outcome: Outcome,
 }
 
 /// An outcome that waits for its store, so that a lost answer can be asked for
 /// again; it is given to the caller without it when the store takes too long.
 #[derive(Debug)]
-pub(super) struct Storing {
+pub(super) struct PendingStore {
     /// The call.
     pub id: CallId,
     /// The outcome.
--- a/src/entry/peer_state.rs
+++ b/src/entry/peer_state.rs
@@ -17,7 +17,7 @@
     /// The index at which it counted what it had in flight. Not the highest it
     /// said: with counts from before a drain, a request sent in between would be
     /// overlooked, and the instance moved or rebooted under it.
-    pub counted_index: u64,
+    pub in_flight_index: u64,
     /// What it had in flight at that index.
     pub in_flight: BTreeMap<InstanceName, u32>,
     /// Whether it is stopping.
@@ -43,7 +43,7 @@
     /// What it acknowledged.
     pub fn ack(&self) -> EntryAck {
         EntryAck {
-            applied_index: self.counted_index,
+            applied_index: self.in_flight_index,
             in_flight: self.in_flight.clone(),
         }
     }
--- a/src/entry/proposals.rs
+++ b/src/entry/proposals.rs
@@ -9,20 +9,20 @@
 /// state tells the repeated command apart by its id.
 #[derive(Debug)]
 pub struct Proposals<P> {
-    open: BTreeMap<u64, Open<P>>,
+    open: BTreeMap<u64, OpenProposal<P>>,
 }
 
 #[derive(Debug)]
-struct Open<P> {
+struct OpenProposal<P> {
     command: Command,
     purpose: P,
     sent_ms: u64,
-    give_up_ms: u64,
+    expires_ms: u64,
 }
 
 /// Time after which an unseen proposal is sent again: several round trips and
 /// two syncs of a healthy log, and shorter than an election.
-const RESEND_MS: u64 = 400;
+const PROPOSAL_RESEND_MS: u64 = 400;
 
 impl<P> Default for Proposals<P> {
     fn default() -> Self {
@@ -34,10 +34,10 @@
 
 impl<P> Proposals<P> {
     /// Takes charge of a command.
-    pub fn open(&mut self, now_ms: u64, command: Command, purpose: P, patience_ms: u64) {
-        let open = Open {
+    pub fn open(&mut self, now_ms: u64, command: Command, purpose: P, timeout_ms: u64) {
+        let open = OpenProposal {
             sent_ms: now_ms,
-            give_up_ms: now_ms.saturating_add(patience_ms),
+            expires_ms: now_ms.saturating_add(timeout_ms),
             command,
             purpose,
         };
@@ -53,7 +53,7 @@
     pub fn due(&mut self, now_ms: u64) -> Vec<Command> {
         let mut due = Vec::new();
         for open in self.open.values_mut() {
-            if open.sent_ms + RESEND_MS <= now_ms {
+            if open.sent_ms + PROPOSAL_RESEND_MS <= now_ms {
                 open.sent_ms = now_ms;
                 due.push(open.command.clone());
             }
@@ -72,11 +72,11 @@
     }
 
     /// Proposals whose patience has ended, with their purpose.
-    pub fn given_up(&mut self, now_ms: u64) -> Vec<(Change, P)> {
+    pub fn take_expired(&mut self, now_ms: u64) -> Vec<(Change, P)> {
         let over: Vec<u64> = self
             .open
             .iter()
-            .filter(|(_, open)| open.give_up_ms <= now_ms)
+            .filter(|(_, open)| open.expires_ms <= now_ms)
             .map(|(sequence, _)| *sequence)
             .collect();
         over.iter()
