--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -3,11 +3,11 @@
 use super::JobView;
 use crate::model::{Class, Outcome, RequestKey, ServiceName, TeamName};
 
-/// One call at the callers' edge, from its arrival to its answer.
+/// Identifies a call from its arrival to its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, derive_more::Display)]
 pub struct CallId(pub u64);
 
-/// What a caller asks for.
+/// A call from a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     /// The service.
@@ -16,32 +16,32 @@
     pub team: TeamName,
     /// The caller within the team.
     pub caller: String,
-    /// The class the caller expects; refused if the service has another.
+    /// The class the caller expects; the call is refused if the service has another.
     pub class: Option<Class>,
-    /// Its idempotency key.
+    /// The idempotency key.
     pub key: Option<RequestKey>,
-    /// Whether it may run twice.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
     /// Whether the caller vouches that it sends its key for the first time.
     pub first: bool,
-    /// How long the answer is of use, in milliseconds from its arrival.
+    /// How long the answer is useful, in milliseconds from the arrival of the call.
     pub deadline_ms: u64,
-    /// The body, passed on as it came.
+    /// The body, passed on unchanged.
     pub body: Arc<[u8]>,
 }
 
-/// What the callers' edge sends back.
+/// The answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallAnswer {
     /// The request's outcome.
     Outcome(Outcome),
-    /// A patient job was made durable; ask for it under its id.
+    /// A patient job was stored durably; query its state by its id.
     Accepted {
         /// The job's id.
         job: String,
     },
-    /// What is known of a patient job.
+    /// The state of a patient job.
     Job(JobView),
-    /// A field of the call is wrong: which, and what to do.
+    /// A field of the call is wrong; the text names the field and the remedy.
     BadRequest(String),
 }
--- a/src/entry/counts.rs
+++ b/src/entry/counts.rs
@@ -4,14 +4,14 @@
 
 use crate::model::{Outcome, RefusalReason};
 
-/// Outcomes told to callers since the start.
+/// Number of outcomes sent to callers since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Whole answers.
+    /// Complete answers.
     pub done: u64,
-    /// Outcomes that are not known.
+    /// Requests whose outcome is unknown.
     pub unknown: u64,
-    /// Refusals by reason.
+    /// Requests that did not run, by reason.
     pub not_run: BTreeMap<RefusalReason, u64>,
 }
 
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -2,12 +2,12 @@
 
 use crate::model::{InstanceName, UpstreamReport};
 
-/// What is known of each upstream, and until when it counts.
+/// The newest report of each upstream.
 ///
-/// A report is a lease on the upstream. One that stops refreshing, or that can
-/// be heard neither directly nor through a peer, runs out here by itself, so
-/// that an entry instance which was cut off sends nothing to an upstream that
-/// left meanwhile.
+/// A report is a lease on the upstream. The lease of an upstream that stops refreshing,
+/// or that is heard neither directly nor through a peer, runs out here, so that an
+/// entry instance which was cut off sends nothing to an upstream that has left
+/// meanwhile.
 #[derive(Debug, Default)]
 pub struct Directory {
     upstreams: BTreeMap<InstanceName, Known>,
@@ -18,17 +18,18 @@
 pub struct Known {
     /// The report.
     pub report: UpstreamReport,
-    /// When it was sent at the latest, on this process's clock.
+    /// Latest time at which it can have been sent, on this process's clock.
     pub heard_ms: u64,
-    /// When it was last heard from the upstream itself; none if only from peers.
+    /// Time of the last report received from the upstream itself; none if all came
+    /// through peers.
     pub direct_ms: Option<u64>,
 }
 
 impl Directory {
-    /// Takes in a report and says whether it is news.
+    /// Records a report; returns `false` if it is not newer than the known one.
     ///
-    /// `direct` tells whether the upstream sent it here itself. An older
-    /// incarnation or sequence never replaces a newer one.
+    /// `direct` is set if the upstream itself sent the report here. An older
+    /// incarnation or sequence number never replaces a newer one.
     pub fn hear(&mut self, report: &UpstreamReport, heard_ms: u64, direct: bool) -> bool {
         let direct_ms = direct.then_some(heard_ms);
         let Some(known) = self.upstreams.get_mut(&report.instance) else {
@@ -40,9 +41,9 @@
             self.upstreams.insert(report.instance.clone(), known);
             return true;
         };
-        let order = (report.incarnation, report.sequence);
-        let present = (known.report.incarnation, known.report.sequence);
-        if order < present || (order == present && heard_ms <= known.heard_ms) {
+        let received = (report.incarnation, report.sequence);
+        let current = (known.report.incarnation, known.report.sequence);
+        if received < current || (received == current && heard_ms <= known.heard_ms) {
             return false;
         }
         known.report = report.clone();
@@ -56,12 +57,12 @@
         self.upstreams.get(instance)
     }
 
-    /// All upstreams ever heard of and not yet forgotten.
+    /// All upstreams that are not forgotten yet.
     pub fn iter(&self) -> impl Iterator<Item = (&InstanceName, &Known)> {
         self.upstreams.iter()
     }
 
-    /// Forgets upstreams not heard for `keep_ms`.
+    /// Forgets upstreams without a report for `keep_ms`.
     pub fn forget(&mut self, now_ms: u64, keep_ms: u64) {
         self.upstreams
             .retain(|_, known| known.heard_ms + keep_ms > now_ms);
--- a/src/entry/driver.rs
+++ b/src/entry/driver.rs
@@ -19,13 +19,13 @@
 use crate::storage::{self, Disk, StorageError};
 use crate::unix_time::unix_ms;
 
-/// How often time is fed to the node. Fine enough for queue waits and election
-/// timeouts, coarse enough to cost a fraction of a percent of a core.
+/// Interval between ticks of the node: short enough for queue waits and election
+/// timeouts, long enough to cost only a fraction of a percent of a core.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Events taken in one go before time is looked at again.
+/// Events processed before the time is checked again.
 const MAX_EVENTS_PER_BATCH: usize = 256;
 
-/// What can go wrong with an entry instance as a whole.
+/// Error that keeps an entry instance from starting or ends it.
 #[derive(Debug, derive_more::Display, derive_more::Error, derive_more::From)]
 pub enum DriverError {
     /// A thread or listener cannot be set up.
@@ -37,17 +37,16 @@
     /// Outgoing requests cannot be set up.
     #[display("{_0}")]
     Outgoing(OutgoingError),
-    /// The data folder cannot be used any more; what was not synced was not
-    /// answered.
+    /// The data folder failed. Nothing that was not synced has been answered.
     #[display("{_0}")]
     Storage(StorageError),
-    /// The node's thread ended by a panic.
-    #[display("the node ended by a fault of its own")]
+    /// The node's thread panicked.
+    #[display("the thread of the node panicked")]
     #[from(skip)]
     Panicked,
 }
 
-/// Where an entry instance listens.
+/// Listening sockets of an entry instance.
 #[derive(Debug)]
 pub struct Listeners {
     /// For callers.
@@ -60,41 +59,44 @@
     pub peers: TcpListener,
 }
 
-/// Everything an entry instance is started with.
+/// Everything needed to start an entry instance.
 pub struct DriverSettings {
-    /// For the node.
+    /// Settings of the node.
     pub node: NodeSettings,
-    /// Where it listens.
+    /// Its listening sockets.
     pub listeners: Listeners,
-    /// Where its peers take links.
+    /// Addresses at which its peers accept links.
     pub peers: BTreeMap<EntryName, SocketAddr>,
     /// The key shared with the peers.
     pub key: PeerKey,
     /// Operators' tokens.
     pub keys: OperatorKeys,
-    /// The data folder and what it remembers; none for one without a vote.
+    /// The data folder with the log state recovered from it; none for an entry instance
+    /// without a vote.
     pub disk: Option<(Disk, Recovered)>,
 }
 
-/// What reaches the node's thread.
+/// Input of the node's thread.
 enum Input {
     Event(Event),
     DiskFailed(StorageError),
 }
 
-/// A running entry instance: the node, its clock and its edges.
+/// A running entry instance: the node on its thread, the HTTP servers, the links and
+/// the disk.
 pub struct Driver {
     inputs: Sender<Input>,
     node: JoinHandle<Result<(), DriverError>>,
 }
 
-/// Asks a running entry instance for a planned stop.
+/// Requests a planned stop of a running entry instance.
 pub struct Stopper(Sender<Input>);
 
 impl Stopper {
-    /// Begins a planned stop: nothing new is taken, what is in flight ends.
+    /// Starts a planned stop: nothing new is accepted, and what is in flight is
+    /// finished.
     pub fn stop(&self) {
-        // The node has ended already if nobody takes the event.
+        // Sending fails only if the node has ended already.
         let _ = self.0.send(Input::Event(Event::Stop));
     }
 }
@@ -166,15 +168,15 @@
         Ok(Self { inputs: tx, node })
     }
 
-    /// What asks for a planned stop.
+    /// Returns a handle that requests a planned stop.
     pub fn stopper(&self) -> Stopper {
         Stopper(self.inputs.clone())
     }
 
-    /// Waits for the end of the entry instance.
+    /// Waits until the entry instance has ended.
     ///
     /// # Errors
-    /// It ended without being asked to: its data folder failed.
+    /// Its data folder failed or its thread panicked.
     pub fn join(self) -> Result<(), DriverError> {
         self.node.join().map_err(|_| DriverError::Panicked)?
     }
@@ -187,7 +189,7 @@
             Ok(token) => Input::Event(Event::Persisted { token }),
             Err(err) => Input::DiskFailed(err),
         };
-        // The node has ended if nobody takes it.
+        // Sending fails only if the node has ended.
         let _ = inputs.send(input);
     })?;
     Ok(tx)
@@ -231,7 +233,7 @@
 }
 
 impl Edges {
-    /// Carries out an effect; `true` at the end of a planned stop.
+    /// Carries out an effect; returns `true` at the end of a planned stop.
     fn execute(&self, effect: Effect) -> bool {
         match effect {
             Effect::AnswerCall { id, answer } => self.callers.answer(id, answer),
@@ -245,7 +247,8 @@
             } => self.outgoing.checkpoint(address, request, attempt),
             Effect::Persist { token, records } => {
                 if let Some(disk) = &self.disk {
-                    // A disk thread that ended has said why; see `Input`.
+                    // If the disk thread has ended, it has reported why; see
+                    // `Input::DiskFailed`.
                     let _ = disk.send(storage::Job { token, records });
                 }
             }
@@ -271,7 +274,7 @@
         self.stop_callers.send_replace(true);
         self.stop_all.send_replace(true);
         if let Some(http) = self.http.take() {
-            // A panic there was logged and leaves nothing to do here.
+            // A panic of the HTTP thread was logged; there is nothing left to do.
             let _ = http.join();
         }
     }
@@ -298,8 +301,8 @@
         while let Some(next) = input {
             let event = match next {
                 Input::Event(event) => event,
-                // What is on the disk is not known any more: going on could
-                // break a promise, so the process ends at once.
+                // The contents of the disk are unknown now. Continuing could break a
+                // promise already given to the log, so the process ends at once.
                 Input::DiskFailed(err) => return Err(err.into()),
             };
             if edges.execute_all(node.handle(elapsed_ms(), event)) {
--- a/src/entry/effect.rs
+++ b/src/entry/effect.rs
@@ -7,7 +7,8 @@
 use crate::consensus::Record;
 use crate::upstream_api::AnnounceReply;
 
-/// What an entry instance wants done.
+/// An output of the [`Node`](super::Node), carried out by the
+/// [`Driver`](super::Driver).
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Answer a call.
@@ -33,9 +34,9 @@
     },
     /// Send an attempt to an upstream.
     Send(Sending),
-    /// Ask an upstream to hand out a checkpoint of an attempt and stop it.
+    /// Ask an upstream to stop an attempt and return a checkpoint of it.
     Checkpoint {
-        /// Where it takes requests, `IP:port`.
+        /// Address at which the upstream takes requests, `IP:port`.
         address: String,
         /// The request.
         request: RequestId,
@@ -49,22 +50,23 @@
         /// The frame.
         frame: PeerFrame,
     },
-    /// Write to the data folder and sync, then say so.
+    /// Write to the data folder, sync, then report completion.
     Persist {
-        /// Comes back with [`super::Event::Persisted`].
+        /// Returned in [`super::Event::Persisted`].
         token: u64,
         /// What to write.
         records: Vec<Record>,
     },
-    /// Tell the balancer how this entry instance is.
+    /// Publish the health of this entry instance for the balancer.
     Health(Health),
-    /// Take no more connections from callers.
+    /// Accept no more connections from callers.
     CloseCallers,
-    /// The planned stop is complete: nothing is in flight any more.
+    /// The planned stop is complete: nothing is in flight any more, or the grace period
+    /// is over.
     Stopped,
 }
 
-/// One attempt as it goes to an upstream.
+/// An attempt as it is sent to an upstream.
 #[derive(Clone, Debug)]
 pub struct Sending {
     /// The request.
@@ -73,27 +75,27 @@
     pub attempt: AttemptId,
     /// The instance.
     pub instance: InstanceName,
-    /// Where it takes requests, `IP:port`.
+    /// Address at which the upstream takes requests, `IP:port`.
     pub address: String,
-    /// The incarnation meant; another one refuses it.
+    /// The incarnation the attempt is meant for; any other refuses it.
     pub incarnation: u64,
     /// The service.
     pub service: ServiceName,
-    /// The pool under which it may run.
+    /// The pool in which the request may run.
     pub pool: PoolName,
-    /// The pool epoch under which it may run.
+    /// The pool epoch in which the request may run.
     pub pool_epoch: u64,
     /// The class.
     pub class: Class,
-    /// Whether it may run twice.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
     /// The caller's key.
     pub key: Option<RequestKey>,
-    /// The fencing number of a patient job's attempt.
+    /// The fencing token of a patient job's attempt.
     pub fence: Option<u64>,
-    /// The checkpoint from which a patient job's attempt goes on.
+    /// The checkpoint from which a patient job's attempt resumes.
     pub checkpoint: Option<Vec<u8>>,
-    /// Longest time to the whole answer, in milliseconds.
+    /// Longest time to the complete answer, in milliseconds.
     pub timeout_ms: u64,
     /// The caller's body.
     pub body: Arc<[u8]>,
--- a/src/entry/event.rs
+++ b/src/entry/event.rs
@@ -3,42 +3,42 @@
 
 use super::{Call, CallId, OperatorId, OperatorRequest, PeerFrame};
 
-/// Everything that can happen to an entry instance.
+/// An input of the [`Node`](super::Node).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed.
+    /// Periodic tick; the time is passed along with the event.
     Tick,
     /// A call arrived.
     Call {
-        /// Its id, given by the edge.
+        /// The call's id, assigned by the HTTP server.
         id: CallId,
         /// The call.
         call: Call,
     },
-    /// The caller went away before its answer.
+    /// The caller disconnected before its answer.
     CallerGone {
         /// The call.
         id: CallId,
     },
-    /// A caller asks what became of a patient job.
+    /// A caller queries the state of a patient job.
     JobQuery {
-        /// Given by the edge.
+        /// Identifies the request to its HTTP server.
         id: CallId,
         /// The job's id.
         job: String,
     },
-    /// A caller wants a patient job no more.
+    /// A caller cancels a patient job.
     JobCancel {
-        /// Given by the edge.
+        /// Identifies the request to its HTTP server.
         id: CallId,
         /// The job's id.
         job: String,
     },
-    /// An upstream announced itself; its answer goes out under the same id.
+    /// An upstream announced itself; the reply carries the same id.
     Announced {
-        /// Given by the edge.
+        /// Identifies the request to its HTTP server.
         id: CallId,
-        /// What it said.
+        /// The upstream's report.
         report: UpstreamReport,
     },
     /// An attempt on an upstream ended.
@@ -47,51 +47,52 @@
         request: RequestId,
         /// The attempt.
         attempt: AttemptId,
-        /// Time it took, in microseconds.
+        /// Duration of the attempt, in microseconds.
         run_us: u64,
         /// How it ended.
         end: AttemptEnd,
     },
-    /// A peer's frame, proved to be from that peer.
+    /// A frame from a peer whose identity the link has verified.
     Peer {
         /// The peer.
         from: EntryName,
-        /// What it sent.
+        /// The frame.
         frame: PeerFrame,
     },
-    /// The disk finished the write with this token, synced.
+    /// The write with this token is synced to disk.
     Persisted {
         /// The token.
         token: u64,
     },
-    /// An operator asks for or changes something.
+    /// A request of an operator.
     Operator {
-        /// Given by the edge.
+        /// Identifies the request to its HTTP server.
         id: OperatorId,
-        /// What is asked.
+        /// The request.
         request: OperatorRequest,
     },
-    /// A planned stop: take nothing new, finish what is in flight.
+    /// Start of a planned stop: accept nothing new, finish what is in flight.
     Stop,
 }
 
 /// How an attempt on an upstream ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// A whole answer.
+    /// A complete answer.
     Answer {
         /// HTTP status.
         status: u16,
-        /// The whole body.
+        /// The complete body.
         body: Vec<u8>,
     },
-    /// It was stopped on request; the next attempt may go on from here.
+    /// The attempt was stopped on request; the next one may resume from this
+    /// checkpoint.
     Checkpoint {
-        /// What the upstream handed out.
+        /// The checkpoint, as the upstream returned it.
         data: Vec<u8>,
     },
-    /// It certainly did not run.
+    /// The request certainly did not run.
     Refused(AttemptRefusal),
-    /// Bytes may have reached the upstream and no whole answer came.
+    /// Bytes may have reached the upstream, and no complete answer came.
     Lost,
 }
--- a/src/entry/job_view.rs
+++ b/src/entry/job_view.rs
@@ -1,16 +1,16 @@
 use crate::model::Outcome;
 
-/// What a caller is told of a patient job.
+/// State of a patient job as a caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobView {
-    /// It waits for its turn.
+    /// The job waits to be assigned to an entry instance.
     Waiting,
-    /// An attempt is under way.
+    /// The job is assigned to an entry instance; an attempt may be in flight.
     Running,
-    /// It has ended, with this outcome.
+    /// The job has ended, with this outcome.
     Ended(Outcome),
-    /// It has ended before; ask for its outcome.
+    /// The job had ended before it could be cancelled; query it for its outcome.
     Over,
-    /// Not known here, or no longer kept.
+    /// The job is unknown or no longer kept.
     NotFound,
 }
--- a/src/entry/node/peers.rs
+++ b/src/entry/node/peers.rs
@@ -22,7 +22,7 @@
         // made of the wall clock, and a clock that was set back must not shut the peer
         // out.
         if frame.incarnation != peer.incarnation {
-            peer.restarted(frame.incarnation);
+            peer.reset(frame.incarnation);
         }
         peer.newest_sent_ms = peer.newest_sent_ms.max(Some(frame.sent_ms));
         peer.heard_ms = Some(now_ms);
--- a/src/entry/open.rs
+++ b/src/entry/open.rs
@@ -6,7 +6,7 @@
 
 use super::CallId;
 
-/// A request between its arrival at the dispatcher and its answer.
+/// A request that is not answered yet.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
     /// Who waits for its answer.
@@ -17,64 +17,65 @@
     pub team: TeamName,
     /// The caller within the team.
     pub caller: String,
-    /// Its class.
+    /// Class of its service.
     pub class: Class,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub idempotent: bool,
     /// The caller's own key, passed on to the upstream.
     pub key: Option<RequestKey>,
-    /// The body.
+    /// Body passed to the upstream.
     pub body: Arc<[u8]>,
-    /// When its answer is useless.
+    /// Time after which its answer is useless.
     pub deadline_ms: u64,
-    /// Longest time for one attempt.
+    /// Longest time for one attempt, in milliseconds.
     pub attempt_timeout_ms: u64,
-    /// The whole answer of an attempt, until the dispatcher says what counts.
+    /// The complete answer of an attempt, until the dispatcher decides which attempt
+    /// counts.
     pub answer: Option<(AttemptId, u16, Vec<u8>)>,
-    /// Whether the dispatcher has it.
+    /// Whether it was submitted to the dispatcher.
     pub offered: bool,
 }
 
 /// Who waits for a request's answer.
 #[derive(Debug)]
 pub(super) enum Origin {
-    /// A call at the callers' edge.
+    /// A call from a caller.
     Call {
         /// The call.
         id: CallId,
-        /// Whether the caller went away.
+        /// Whether the caller disconnected.
         gone: bool,
         /// The claim on its key, for one that may run only once.
         claim: Option<ClaimHold>,
     },
-    /// A patient job that this entry instance was given.
+    /// A patient job assigned to this entry instance.
     Job {
         /// The job.
         job: JobId,
-        /// The attempt's fence.
+        /// The attempt's fencing token.
         fence: Fence,
     },
 }
 
-/// A claim on a key.
+/// A claim on the key of a request that may run only once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct ClaimHold {
-    /// The key as it stands in the replicated state.
+    /// The key as the replicated state has it, with team and caller in front.
     pub key: RequestKey,
-    /// The granted fence, none until it is granted.
+    /// The fencing token; none until the claim is granted.
     pub fence: Option<Fence>,
-    /// What the caller is told if the claim brings no verdict.
+    /// The outcome for the caller if the claim gets no usable reply.
     pub fallback_outcome: Outcome,
 }
 
-/// An outcome that waits for its store, so that a lost answer can be asked for
-/// again; it is given to the caller without it when the store takes too long.
+/// An outcome that is being stored, so that a caller that loses the answer can ask
+/// again. If storing takes too long, the caller is answered without it.
 #[derive(Debug)]
 pub(super) struct PendingStore {
     /// The call.
     pub id: CallId,
     /// The outcome.
     pub outcome: Outcome,
-    /// When the caller is answered at the latest.
+    /// Latest time to answer the caller.
     pub due_ms: u64,
 }
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -1,58 +1,58 @@
 use crate::maintenance::{FleetCommand, WaveSpec};
 use crate::model::ChangeId;
 
-/// One request at the operators' edge.
+/// Identifies a request of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, derive_more::Display)]
 pub struct OperatorId(pub u64);
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorRequest {
-    /// How the system is.
+    /// Get the status of the system.
     Status,
-    /// The same, for metrics.
+    /// Get the status for metrics.
     Metrics,
-    /// The rows in force, as a sheet.
+    /// Get the configuration rows in force, as a CSV table.
     Table,
-    /// What is wrong with a sheet; nothing is changed.
+    /// Check a CSV table without changing anything.
     CheckTable {
-        /// The sheet.
+        /// The CSV table.
         sheet: Vec<u8>,
     },
-    /// Put the rows of a sheet in force, all or none.
+    /// Put the rows of a CSV table in force, all or none.
     PutTable {
         /// The change's id.
         change: ChangeId,
-        /// Who.
+        /// The operator's name.
         operator: String,
-        /// The sheet.
+        /// The CSV table.
         sheet: Vec<u8>,
-        /// Whether jumps are meant.
+        /// Whether the operator confirms unusually large changes of values.
         confirm_jump: bool,
     },
-    /// Pools with their budgets.
+    /// List the pools with their budgets.
     Pools,
-    /// Waves and how far they are.
+    /// List the waves with their progress.
     Waves,
-    /// The plan of a wave; nothing is changed.
+    /// Plan a wave without changing anything.
     PlanWave {
-        /// The wave.
+        /// The wave to plan.
         spec: WaveSpec,
     },
     /// Change pools, instances or waves.
     Fleet {
         /// The change's id.
         change: ChangeId,
-        /// Who.
+        /// The operator's name.
         operator: String,
         /// The change.
         command: FleetCommand,
     },
-    /// What was decided about something.
+    /// Explain the decisions about a subject.
     Explain(Subject),
 }
 
-/// What can be explained.
+/// The subject of an explanation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Subject {
     /// A request as `team/caller/key`, or a job by its id.
@@ -67,18 +67,18 @@
     Row(String),
 }
 
-/// What an operator gets.
+/// The answer to an operator.
 #[derive(Clone, Debug)]
 pub enum OperatorAnswer {
-    /// As asked.
+    /// Success, with the result as JSON.
     Ok(serde_json::Value),
-    /// As asked, as a sheet.
+    /// Success, with a CSV table.
     Sheet(Vec<u8>),
-    /// As asked, for metrics.
+    /// Success, with the status for metrics.
     Metrics(Box<super::EntryStatus>),
     /// Refused, with the reason and the remedy.
     Refused(serde_json::Value),
-    /// The replicated log could not be reached in time; the change may or may
-    /// not be accepted. Sent again under the same change id it is done once.
+    /// The replicated log did not confirm the change in time; the change may or may not
+    /// be accepted. Sent again under the same change id, it takes effect once.
     Unknown(String),
 }
--- a/src/entry/peer_state.rs
+++ b/src/entry/peer_state.rs
@@ -3,22 +3,22 @@
 use crate::maintenance::EntryAck;
 use crate::model::InstanceName;
 
-/// What is known of a peer.
+/// State of a peer, from its frames.
 #[derive(Debug, Default)]
 pub(super) struct PeerState {
-    /// Its start.
+    /// The peer's incarnation.
     pub incarnation: u64,
-    /// The newest time stamp received from it, on its clock.
+    /// The newest send time received from it, on its clock.
     pub newest_sent_ms: Option<u64>,
-    /// When it was last heard, on this clock.
+    /// Time of its last frame, on this clock.
     pub heard_ms: Option<u64>,
-    /// The highest index it said it has applied.
+    /// The highest log index it has reported as applied.
     pub applied_index: u64,
-    /// The index at which it counted what it had in flight. Not the highest it
-    /// said: with counts from before a drain, a request sent in between would be
-    /// overlooked, and the instance moved or rebooted under it.
+    /// The log index for which `in_flight` was counted. Not the highest index reported:
+    /// with counts from before a drain, a request sent in between would be overlooked,
+    /// and the instance moved or rebooted under it.
     pub in_flight_index: u64,
-    /// What it had in flight at that index.
+    /// Its attempts in flight at `in_flight_index`, by instance.
     pub in_flight: BTreeMap<InstanceName, u32>,
     /// Whether it is stopping.
     pub stopping: bool,
@@ -27,20 +27,21 @@
 }
 
 impl PeerState {
-    /// Forgets what an earlier start of the peer said.
-    pub fn restarted(&mut self, incarnation: u64) {
+    /// Resets the state after a restart of the peer.
+    pub fn reset(&mut self, incarnation: u64) {
         *self = Self {
             incarnation,
             ..Self::default()
         };
     }
 
-    /// How long it has been silent; since this process's start if never heard.
+    /// Time since its last frame, in milliseconds; since this process's start if there
+    /// was none.
     pub fn silent_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.heard_ms.unwrap_or(0))
     }
 
-    /// What it acknowledged.
+    /// Returns its acknowledgement for the fleet controller.
     pub fn ack(&self) -> EntryAck {
         EntryAck {
             applied_index: self.in_flight_index,
--- a/src/entry/proposals.rs
+++ b/src/entry/proposals.rs
@@ -2,11 +2,11 @@
 
 use crate::state::{Change, Command, CommandId};
 
-/// Commands this entry instance proposed and has not yet seen applied.
+/// Commands that this entry instance proposed and has not seen applied yet.
 ///
-/// A proposal can be lost on its way to the leader or with the leader. It is
-/// proposed again until it is seen applied or its patience ends; the replicated
-/// state tells the repeated command apart by its id.
+/// A proposal can be lost on its way to the leader, or with the leader. It is resent
+/// until it is seen applied or times out; the replicated state detects a repeated
+/// command by its id.
 #[derive(Debug)]
 pub struct Proposals<P> {
     open: BTreeMap<u64, OpenProposal<P>>,
@@ -20,8 +20,8 @@
     expires_ms: u64,
 }
 
-/// Time after which an unseen proposal is sent again: several round trips and
-/// two syncs of a healthy log, and shorter than an election.
+/// Time after which a proposal that was not seen applied is resent: several round trips
+/// and two syncs of a healthy log, and shorter than an election.
 const PROPOSAL_RESEND_MS: u64 = 400;
 
 impl<P> Default for Proposals<P> {
@@ -33,7 +33,7 @@
 }
 
 impl<P> Proposals<P> {
-    /// Takes charge of a command.
+    /// Adds a command that is being proposed.
     pub fn open(&mut self, now_ms: u64, command: Command, purpose: P, timeout_ms: u64) {
         let open = OpenProposal {
             sent_ms: now_ms,
@@ -44,12 +44,12 @@
         self.open.insert(open.command.id.sequence, open);
     }
 
-    /// The purpose of an applied command, if it was proposed here and is open.
+    /// Removes an applied command; returns its purpose if it was open here.
     pub fn applied(&mut self, id: &CommandId) -> Option<P> {
         self.open.remove(&id.sequence).map(|open| open.purpose)
     }
 
-    /// Commands to send again.
+    /// Returns the commands to resend, and marks them as sent now.
     pub fn due(&mut self, now_ms: u64) -> Vec<Command> {
         let mut due = Vec::new();
         for open in self.open.values_mut() {
@@ -71,15 +71,16 @@
         self.open.is_empty()
     }
 
-    /// Proposals whose patience has ended, with their purpose.
+    /// Removes and returns the proposals that have timed out.
     pub fn take_expired(&mut self, now_ms: u64) -> Vec<(Change, P)> {
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .open
             .iter()
             .filter(|(_, open)| open.expires_ms <= now_ms)
             .map(|(sequence, _)| *sequence)
             .collect();
-        over.iter()
+        expired
+            .iter()
             .filter_map(|sequence| self.open.remove(sequence))
             .map(|open| (open.command.change, open.purpose))
             .collect()
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -8,89 +8,89 @@
 
 use super::Counts;
 
-/// How the system is, as one entry instance sees it.
+/// Status of the system as one entry instance sees it.
 #[derive(Clone, Debug, Serialize)]
 pub struct EntryStatus {
     /// The entry instance.
     pub entry: EntryName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Whether it is ready, draining or cut off.
+    /// The entry instance's health.
     pub health: Health,
-    /// Since its start, in milliseconds.
+    /// Time since its start, in milliseconds.
     pub up_ms: u64,
-    /// The replicated log.
+    /// Status of the replicated log.
     pub log: consensus::Status,
-    /// The highest index applied here.
+    /// Highest log index applied here.
     pub applied_index: u64,
-    /// Rows in force here: the sum of their versions, which never goes back.
+    /// Sum of the versions of the rows in force here; it never decreases.
     pub row_versions: u64,
     /// The other entry instances.
     pub peers: BTreeMap<EntryName, PeerStatus>,
-    /// Pools with the arithmetic of their budgets.
+    /// Pools with their disruption budgets.
     pub pools: BTreeMap<PoolName, PoolStatus>,
-    /// Upstreams whose report counts now.
+    /// Number of upstreams whose lease is valid.
     pub upstreams: usize,
-    /// Instances in the replicated state.
+    /// Number of instances in the replicated state.
     pub instances: usize,
-    /// Requests between arrival and answer.
+    /// Number of requests not answered yet.
     pub open_requests: usize,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub in_flight: usize,
-    /// Attempts sent since the start.
+    /// Number of attempts sent since the start.
     pub attempts: u64,
-    /// Proposals not yet seen applied.
+    /// Number of proposals not seen applied yet.
     pub open_proposals: usize,
-    /// Outcomes told to callers.
+    /// Outcomes sent to callers since the start.
     pub outcomes: Counts,
-    /// Waiting requests by class, as `urgent` and `patient`.
+    /// Number of queued requests by class, `urgent` and `patient`.
     pub waiting: BTreeMap<String, usize>,
-    /// Longest expected wait in a queue by class, in milliseconds.
+    /// Longest expected queue wait by class, in milliseconds.
     pub wait_ms: BTreeMap<String, u64>,
-    /// Attempts tried again, by reason.
+    /// Number of retries by reason.
     pub retries: BTreeMap<String, u64>,
-    /// What the replicated state holds of keys and jobs.
+    /// Size of the replicated state in keys and jobs.
     pub usage: Usage,
 }
 
-/// What the balancer is told.
+/// Health as published for the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Health {
-    /// Does not know the pools yet: send nothing.
+    /// The pools are not known yet: send nothing.
     #[display("starting")]
     Starting,
-    /// Takes calls of every kind.
+    /// Calls of every kind are accepted.
     #[display("ready")]
     Ready,
-    /// Without a leader: takes calls that need no claim.
+    /// The log has no leader: only calls that need no claim are accepted.
     #[display("cut-off")]
     CutOff,
-    /// A planned stop is under way: send nothing new.
+    /// A planned stop is in progress: send nothing new.
     #[display("draining")]
     Draining,
 }
 
-/// One peer as this entry instance sees it.
+/// A peer as this entry instance sees it.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeerStatus {
-    /// Whether it is heard.
+    /// Whether the peer has been heard from recently.
     pub heard: bool,
-    /// Silence, in milliseconds.
+    /// Time since its last frame, in milliseconds.
     pub silent_ms: u64,
-    /// The highest index it has applied.
+    /// Highest log index it has reported as applied.
     pub applied_index: u64,
-    /// Entries of the log it is behind this one.
+    /// Number of log entries it is behind this entry instance.
     pub behind: u64,
 }
 
-/// One pool.
+/// Disruption budget of a pool.
 #[derive(Clone, Debug, Serialize)]
 pub struct PoolStatus {
-    /// Instances that must serve.
+    /// Number of instances that must stay available.
     pub min_available: u32,
-    /// Instances that serve.
+    /// Number of serving instances.
     pub serving: u32,
-    /// The arithmetic in words.
+    /// The calculation of the budget as text.
     pub budget_use: String,
 }
