--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,4 +1,4 @@
-//! A whole entry instance without its edges: events in, effects out.
+//! Tests of the state machine of an entry instance: events in, effects out.
 #![allow(missing_docs, clippy::unwrap_used)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,19 +15,19 @@
     Survive, UpstreamReport, ZoneName,
 };
 
-/// One entry instance that is its own quorum, and its clock.
-struct Bench {
+/// An entry instance that is its own quorum, with a simulated clock.
+struct NodeHarness {
     node: Node,
     now_ms: u64,
-    seen: Vec<Effect>,
+    effects: Vec<Effect>,
     calls: u64,
     ids: u64,
     reports: u64,
-    /// Writes that a disk which stands still has not synced; none while it works.
-    unsynced: Option<Vec<u64>>,
+    /// Writes not synced yet while the disk stalls; none while it works.
+    unsynced_writes: Option<Vec<u64>>,
 }
 
-impl Bench {
+impl NodeHarness {
     fn start() -> Self {
         let me = EntryName::from("a-1");
         let settings = NodeSettings {
@@ -41,17 +41,17 @@
             incarnation: Some(7),
             ..Recovered::default()
         };
-        let mut bench = Self {
+        let mut harness = Self {
             node: Node::new(settings, recovered, 1_000_000, 0),
             now_ms: 0,
-            seen: Vec::new(),
+            effects: Vec::new(),
             calls: 0,
             ids: 0,
             reports: 0,
-            unsynced: None,
+            unsynced_writes: None,
         };
-        bench.run_ms(3_000);
-        bench.feed(Event::Operator {
+        harness.run_ms(3_000);
+        harness.feed(Event::Operator {
             id: OperatorId(1),
             request: OperatorRequest::Fleet {
                 change: "c1".into(),
@@ -59,33 +59,34 @@
                 command: FleetCommand::PutPool { pool: pool() },
             },
         });
-        bench.report();
-        bench.run_ms(100);
-        bench.report();
-        bench
+        harness.report();
+        harness.run_ms(100);
+        harness.report();
+        harness
     }
 
-    /// Feeds an event and, as a disk without delay would, its writes.
+    /// Feeds an event, and reports the resulting writes as synced at once unless the
+    /// disk stalls.
     fn feed(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             for effect in self.node.handle(self.now_ms, event) {
                 if let Effect::Persist { token, .. } = effect {
-                    match &mut self.unsynced {
-                        Some(unsynced) => unsynced.push(token),
+                    match &mut self.unsynced_writes {
+                        Some(unsynced_writes) => unsynced_writes.push(token),
                         None => events.push(Event::Persisted { token }),
                     }
                 } else {
-                    self.seen.push(effect);
+                    self.effects.push(effect);
                 }
             }
         }
     }
 
-    /// The disk syncs nothing for so long, then all at once.
+    /// Runs for `ms` with a stalled disk, which then syncs all writes at once.
     fn stall_disk_ms(&mut self, ms: u64) {
         self.run_ms(ms);
-        for token in self.unsynced.take().unwrap_or_default() {
+        for token in self.unsynced_writes.take().unwrap_or_default() {
             self.feed(Event::Persisted { token });
         }
     }
@@ -110,7 +111,7 @@
         self.call_key(self.calls, idempotent, 5_000)
     }
 
-    /// A call under the key of the call of that number.
+    /// Sends a call under the key `k{number}`.
     fn call_key(&mut self, number: u64, idempotent: bool, deadline_ms: u64) -> CallId {
         self.ids += 1;
         let id = CallId(self.ids);
@@ -129,7 +130,7 @@
         id
     }
 
-    /// A call that brings a patient job which may run only once.
+    /// Sends a call that submits a patient job which may run only once.
     fn job(&mut self, number: u64) -> CallId {
         let id = CallId(9_000 + number);
         let call = Call {
@@ -152,10 +153,10 @@
             Effect::Send(sending) => Some(sending.clone()),
             _ => None,
         };
-        self.seen.iter().filter_map(sending).collect()
+        self.effects.iter().filter_map(sending).collect()
     }
 
-    fn end(&mut self, sending: &Sending, end: AttemptEnd) {
+    fn end_attempt(&mut self, sending: &Sending, end: AttemptEnd) {
         self.feed(Event::AttemptEnded {
             request: sending.request,
             attempt: sending.attempt,
@@ -165,7 +166,7 @@
     }
 
     fn answer_to(&self, call: CallId) -> Option<CallAnswer> {
-        self.seen.iter().find_map(|effect| match effect {
+        self.effects.iter().find_map(|effect| match effect {
             Effect::AnswerCall { id, answer } if *id == call => Some(answer.clone()),
             _ => None,
         })
@@ -217,7 +218,7 @@
     }
 }
 
-fn whole() -> AttemptEnd {
+fn complete_answer() -> AttemptEnd {
     AttemptEnd::Answer {
         status: 200,
         body: b"answer".to_vec(),
@@ -231,36 +232,35 @@
     })
 }
 
-/// Callers go away while their requests run. The requests end, and nobody is
-/// told; yet they stayed open in the entry instance for good, and a planned stop
-/// waited for them until its grace was over.
+/// Guards against requests that stay open for good after their caller has disconnected.
+/// A planned stop then waited for them until its grace period was over.
 #[test]
-fn a_request_whose_caller_went_away_leaves_nothing_open() {
+fn a_request_whose_caller_disconnected_is_removed() {
     for idempotent in [true, false] {
-        let mut bench = Bench::start();
-        let call = bench.call(idempotent);
-        let sent = bench.sent();
+        let mut harness = NodeHarness::start();
+        let call = harness.call(idempotent);
+        let sent = harness.sent();
         assert_eq!(sent.len(), 1, "idempotent {idempotent}");
-        bench.feed(Event::CallerGone { id: call });
-        bench.end(&sent[0], whole());
-        assert_eq!(bench.node.status(bench.now_ms).open_requests, 0);
-        bench.feed(Event::Stop);
-        bench.run_ms(2_000);
-        let stopped = bench.seen.iter().any(|e| matches!(e, Effect::Stopped));
+        harness.feed(Event::CallerGone { id: call });
+        harness.end_attempt(&sent[0], complete_answer());
+        assert_eq!(harness.node.status(harness.now_ms).open_requests, 0);
+        harness.feed(Event::Stop);
+        harness.run_ms(2_000);
+        let stopped = harness.effects.iter().any(|e| matches!(e, Effect::Stopped));
         assert!(stopped, "idempotent {idempotent}");
     }
 }
 
-/// A caller that may not be served twice goes away and asks again under its key.
-/// The first run's answer was whole although nobody waited for it: the second
-/// call gets it, and nothing runs again.
+/// A caller whose request may run only once disconnects and asks again under its key.
+/// The first run completed although nobody waited for it: the second call gets its
+/// answer, and nothing runs again.
 #[test]
-fn an_answer_nobody_waited_for_is_stored_under_its_key() {
-    let mut bench = Bench::start();
-    let call = bench.call(false);
-    let sent = bench.sent();
-    bench.feed(Event::CallerGone { id: call });
-    bench.end(&sent[0], whole());
+fn an_answer_after_the_caller_disconnected_is_stored_under_its_key() {
+    let mut harness = NodeHarness::start();
+    let call = harness.call(false);
+    let sent = harness.sent();
+    harness.feed(Event::CallerGone { id: call });
+    harness.end_attempt(&sent[0], complete_answer());
     let again = CallId(500);
     let call = Call {
         service: "check".into(),
@@ -273,157 +273,156 @@
         deadline_ms: 5_000,
         body: Arc::from(&b"body"[..]),
     };
-    bench.feed(Event::Call { id: again, call });
-    assert_eq!(bench.answer_to(again), Some(done()));
-    assert_eq!(bench.sent().len(), 1);
+    harness.feed(Event::Call { id: again, call });
+    assert_eq!(harness.answer_to(again), Some(done()));
+    assert_eq!(harness.sent().len(), 1);
 }
 
-/// An operator asks what became of a caller's request, by the names the caller
-/// gave. The key stands in the state with team and caller in front, which nobody
-/// could type.
+/// An operator asks about a request by team, caller and key. The state stores the key
+/// with team and caller in front, in a form that an operator cannot type.
 #[test]
-fn a_request_is_explained_by_the_names_its_caller_gave() {
-    let mut bench = Bench::start();
-    bench.call(false);
-    let sent = bench.sent();
-    bench.end(&sent[0], whole());
+fn a_request_is_explained_by_team_caller_and_key() {
+    let mut harness = NodeHarness::start();
+    harness.call(false);
+    let sent = harness.sent();
+    harness.end_attempt(&sent[0], complete_answer());
     let request = OperatorRequest::Explain(Subject::Request("t/c/k1".into()));
     let id = OperatorId(7);
-    bench.feed(Event::Operator { id, request });
-    let told = bench.seen.iter().any(|effect| {
+    harness.feed(Event::Operator { id, request });
+    let is_answered = harness.effects.iter().any(|effect| {
         matches!(effect, Effect::AnswerOperator { id: of, answer: OperatorAnswer::Ok(value) }
             if *of == id && value["phase"].to_string().contains("Answered"))
     });
-    assert!(told);
+    assert!(is_answered);
 }
 
-/// The upstream gives no whole answer to a request that may run only once. The
+/// The upstream gives no complete answer to a request that may run only once. The
 /// caller is told `unknown` at once, and the key never runs again.
 #[test]
-fn a_lost_answer_is_unknown_and_never_run_again() {
-    let mut bench = Bench::start();
-    let call = bench.call(false);
-    let sent = bench.sent();
-    bench.end(&sent[0], AttemptEnd::Lost);
+fn a_request_with_a_lost_answer_is_unknown_and_does_not_run_again() {
+    let mut harness = NodeHarness::start();
+    let call = harness.call(false);
+    let sent = harness.sent();
+    harness.end_attempt(&sent[0], AttemptEnd::Lost);
     let unknown = Some(CallAnswer::Outcome(Outcome::Unknown));
-    assert_eq!(bench.answer_to(call), unknown);
-    bench.calls = 0;
-    let before = bench.seen.len();
-    bench.call(false);
-    let told = bench.seen[before..].iter().any(|effect| {
+    assert_eq!(harness.answer_to(call), unknown);
+    harness.calls = 0;
+    let before = harness.effects.len();
+    harness.call(false);
+    let is_answered = harness.effects[before..].iter().any(|effect| {
         matches!(effect, Effect::AnswerCall { answer, .. } if Some(answer) == unknown.as_ref())
     });
-    assert!(told);
-    assert_eq!(bench.sent().len(), 1);
+    assert!(is_answered);
+    assert_eq!(harness.sent().len(), 1);
 }
 
-/// A caller's request that may run only once is answered `done`; sent again under
-/// its key it runs a second time. The disk stands still, so the claim is proposed
-/// again after 400 ms and the log holds it twice. The first one is granted and the
-/// request is sent; the second one was taken for a claim that had been given up,
-/// and the key was set free while its request ran.
+/// Guards against a request that may run only once running again under its key after it
+/// was answered `done`. The disk stalls, so the claim is proposed again after 400 ms
+/// and the log holds it twice. The first copy is granted and the request is sent; the
+/// second was taken for a claim that had timed out, and the key was released while its
+/// request ran.
 #[test]
-fn a_claim_that_the_log_holds_twice_keeps_its_key() {
-    let mut bench = Bench::start();
-    bench.unsynced = Some(Vec::new());
-    bench.call(false);
-    bench.stall_disk_ms(500);
-    let sent = bench.sent();
+fn a_claim_twice_in_the_log_keeps_its_key() {
+    let mut harness = NodeHarness::start();
+    harness.unsynced_writes = Some(Vec::new());
+    harness.call(false);
+    harness.stall_disk_ms(500);
+    let sent = harness.sent();
     assert_eq!(sent.len(), 1);
-    bench.run_ms(100);
-    bench.end(&sent[0], whole());
-    let again = bench.call_key(1, false, 5_000);
-    assert_eq!(bench.sent().len(), 1, "it ran again");
-    assert_eq!(bench.answer_to(again), Some(done()));
+    harness.run_ms(100);
+    harness.end_attempt(&sent[0], complete_answer());
+    let again = harness.call_key(1, false, 5_000);
+    assert_eq!(harness.sent().len(), 1, "it ran again");
+    assert_eq!(harness.answer_to(again), Some(done()));
 }
 
-/// The same, and the second call comes while the first one's request still runs:
-/// the key ran twice at once. It waits for the one answer.
+/// Like the test above, but the second call arrives while the first one's request is in
+/// flight: the key ran twice at once. The second call must wait for the one answer.
 #[test]
-fn a_call_beside_a_claim_that_the_log_holds_twice_waits_for_its_answer() {
-    let mut bench = Bench::start();
-    bench.unsynced = Some(Vec::new());
-    bench.call(false);
-    bench.stall_disk_ms(500);
-    let sent = bench.sent();
-    bench.run_ms(100);
-    let again = bench.call_key(1, false, 5_000);
-    assert_eq!(bench.sent().len(), 1, "it ran beside itself");
-    assert_eq!(bench.answer_to(again), None);
-    bench.end(&sent[0], whole());
-    assert_eq!(bench.answer_to(again), Some(done()));
+fn a_second_call_waits_for_the_answer_of_a_claim_twice_in_the_log() {
+    let mut harness = NodeHarness::start();
+    harness.unsynced_writes = Some(Vec::new());
+    harness.call(false);
+    harness.stall_disk_ms(500);
+    let sent = harness.sent();
+    harness.run_ms(100);
+    let again = harness.call_key(1, false, 5_000);
+    assert_eq!(harness.sent().len(), 1, "it ran twice at once");
+    assert_eq!(harness.answer_to(again), None);
+    harness.end_attempt(&sent[0], complete_answer());
+    assert_eq!(harness.answer_to(again), Some(done()));
 }
 
-/// A call is told `unknown` as the disk stands still for longer than it waits.
-/// Later its claim is granted after all, and the log holds it several times.
-/// Nothing was sent under it, so the key must be free for the next call, and stay
-/// that one's.
+/// A call is told `unknown` because the disk stalls for longer than the call waits.
+/// Later its claim is granted after all, and the log holds it several times. Nothing
+/// was sent under it, so the key must be free for the next call, and must then stay
+/// with that call.
 #[test]
-fn a_claim_that_was_given_up_sets_its_key_free_once() {
-    let mut bench = Bench::start();
-    bench.unsynced = Some(Vec::new());
-    let late = bench.call_key(1, false, 1_000);
-    bench.stall_disk_ms(1_500);
+fn a_claim_that_timed_out_releases_its_key_once() {
+    let mut harness = NodeHarness::start();
+    harness.unsynced_writes = Some(Vec::new());
+    let late = harness.call_key(1, false, 1_000);
+    harness.stall_disk_ms(1_500);
     let unknown = CallAnswer::Outcome(Outcome::Unknown);
-    assert_eq!(bench.answer_to(late), Some(unknown));
-    assert_eq!(bench.sent().len(), 0);
-    bench.run_ms(100);
-    bench.report();
-    let again = bench.call_key(1, false, 5_000);
-    let sent = bench.sent();
+    assert_eq!(harness.answer_to(late), Some(unknown));
+    assert_eq!(harness.sent().len(), 0);
+    harness.run_ms(100);
+    harness.report();
+    let again = harness.call_key(1, false, 5_000);
+    let sent = harness.sent();
     assert_eq!(sent.len(), 1, "the key is still held");
-    bench.run_ms(1_000);
-    bench.end(&sent[0], whole());
-    assert_eq!(bench.answer_to(again), Some(done()));
-    bench.call_key(1, false, 5_000);
-    assert_eq!(bench.sent().len(), 1, "it ran again");
+    harness.run_ms(1_000);
+    harness.end_attempt(&sent[0], complete_answer());
+    assert_eq!(harness.answer_to(again), Some(done()));
+    harness.call_key(1, false, 5_000);
+    assert_eq!(harness.sent().len(), 1, "it ran again");
 }
 
-/// A patient job that may run only once runs twice at once. The disk stands still,
-/// so the leader gives the job out again after 400 ms and the log holds that twice.
-/// At each of the two its owner began an attempt.
+/// Guards against a patient job that may run only once running twice at once. The disk
+/// stalls, so the leader proposes the assignment again after 400 ms and the log holds
+/// it twice. The owner started an attempt for each of the two.
 #[test]
-fn a_job_that_is_given_out_twice_begins_once() {
-    let mut bench = Bench::start();
-    bench.job(1);
-    bench.unsynced = Some(Vec::new());
-    bench.stall_disk_ms(700);
-    bench.run_ms(200);
-    let sent = bench.sent();
+fn a_job_assigned_twice_starts_once() {
+    let mut harness = NodeHarness::start();
+    harness.job(1);
+    harness.unsynced_writes = Some(Vec::new());
+    harness.stall_disk_ms(700);
+    harness.run_ms(200);
+    let sent = harness.sent();
     assert_eq!(sent.len(), 1, "attempts of one job");
-    bench.end(&sent[0], whole());
-    bench.run_ms(1_000);
-    assert_eq!(bench.sent().len(), 1, "attempts after its end");
+    harness.end_attempt(&sent[0], complete_answer());
+    harness.run_ms(1_000);
+    assert_eq!(harness.sent().len(), 1, "attempts after its end");
 }
 
-/// A call comes before the entry instance knows the pools. "Unknown service"
-/// would tell the caller never to come back; it is told when to.
+/// A call arrives before the entry instance knows the pools. "Unknown service" would
+/// tell the caller not to retry; instead it is told when to retry.
 #[test]
-fn a_call_before_the_state_is_known_is_told_to_come_back() {
-    let mut bench = Bench::start();
-    bench.node = Node::new(
+fn a_call_before_the_state_is_known_is_told_to_retry() {
+    let mut harness = NodeHarness::start();
+    harness.node = Node::new(
         NodeSettings::default(),
         Recovered::default(),
         1_000_000,
-        bench.now_ms,
+        harness.now_ms,
     );
-    bench.seen.clear();
-    let call = bench.call(true);
+    harness.effects.clear();
+    let call = harness.call(true);
     let Some(CallAnswer::Outcome(Outcome::NotRun {
         reason,
         retry_after_ms,
-    })) = bench.answer_to(call)
+    })) = harness.answer_to(call)
     else {
-        panic!("{:?}", bench.seen);
+        panic!("{:?}", harness.effects);
     };
     assert_eq!(reason, RefusalReason::Starting);
     assert!(retry_after_ms.is_some());
 }
 
-/// Two entry instances and the frames between them, which can be held back.
+/// Two entry instances and the link between them, which can be cut.
 struct Pair {
-    leader: Bench,
-    learner: Bench,
+    leader: NodeHarness,
+    learner: NodeHarness,
 }
 
 impl Pair {
@@ -431,11 +430,11 @@
         Self::start_with(NodeSettings::default().snapshot_every)
     }
 
-    /// With a snapshot after so many entries.
+    /// Starts the pair with a snapshot after every `snapshot_every` entries.
     fn start_with(snapshot_every: u64) -> Self {
         let mut pair = Self {
-            leader: pair_node("a-1", Some(7), 1, 0, snapshot_every),
-            learner: pair_node("a-2", None, 1, 0, snapshot_every),
+            leader: pair_harness("a-1", Some(7), 1, 0, snapshot_every),
+            learner: pair_harness("a-2", None, 1, 0, snapshot_every),
         };
         pair.run_ms(3_000, true);
         pair.leader.feed(Event::Operator {
@@ -450,57 +449,57 @@
         pair
     }
 
-    /// Runs both, with or without the link between them.
+    /// Runs both; their frames are delivered only if `linked`.
     fn run_ms(&mut self, ms: u64, linked: bool) {
         for _ in 0..ms / 20 {
-            for bench in [&mut self.leader, &mut self.learner] {
-                bench.now_ms += 20;
-                bench.feed(Event::Tick);
+            for harness in [&mut self.leader, &mut self.learner] {
+                harness.now_ms += 20;
+                harness.feed(Event::Tick);
             }
-            carry("a-1", &mut self.leader, &mut self.learner, linked);
-            carry("a-2", &mut self.learner, &mut self.leader, linked);
+            deliver_frames("a-1", &mut self.leader, &mut self.learner, linked);
+            deliver_frames("a-2", &mut self.learner, &mut self.leader, linked);
         }
     }
 }
 
-/// Entry instance `me` of a-1, which votes alone, and a-2, which follows.
-fn pair_node(
+/// Creates the entry instance `me`: a-1, the only voter, or a-2, a learner.
+fn pair_harness(
     me: &str,
-    folder: Option<u64>,
+    log_incarnation: Option<u64>,
     incarnation: u64,
     now_ms: u64,
     snapshot_every: u64,
-) -> Bench {
+) -> NodeHarness {
     let settings = NodeSettings {
         me: me.into(),
         incarnation,
         zone: "a".into(),
         members: ["a-1", "a-2"].map(|name| (name.into(), "a".into())).into(),
         voters: vec!["a-1".into()],
-        seed: folder.unwrap_or(3) + incarnation,
+        seed: log_incarnation.unwrap_or(3) + incarnation,
         snapshot_every,
         ..NodeSettings::default()
     };
     let recovered = Recovered {
-        incarnation: folder,
+        incarnation: log_incarnation,
         ..Recovered::default()
     };
-    Bench {
+    NodeHarness {
         node: Node::new(settings, recovered, 1_000_000, now_ms),
         now_ms,
-        seen: Vec::new(),
+        effects: Vec::new(),
         calls: 0,
         ids: 0,
         reports: 0,
-        unsynced: None,
+        unsynced_writes: None,
     }
 }
 
-fn carry(from: &str, sender: &mut Bench, receiver: &mut Bench, linked: bool) {
-    let (frames, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut sender.seen)
+fn deliver_frames(from: &str, sender: &mut NodeHarness, receiver: &mut NodeHarness, linked: bool) {
+    let (frames, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut sender.effects)
         .into_iter()
         .partition(|effect| matches!(effect, Effect::Peer { .. }));
-    sender.seen = rest;
+    sender.effects = rest;
     for effect in frames {
         if let Effect::Peer { frame, .. } = effect
             && linked
@@ -511,43 +510,52 @@
     }
 }
 
-/// An entry instance is cut off; meanwhile an instance may move and restart. It
-/// announces itself to the one that is cut off, having forgotten its epoch. Told
-/// the old one, it would run requests of two pools at once.
+/// An entry instance is cut off; meanwhile an instance may move and restart. The
+/// restarted upstream has forgotten its epoch and announces itself to the entry
+/// instance that is cut off. If it were told the old epoch, it would run requests of
+/// two pools at once.
 #[test]
-fn a_cut_off_entry_tells_a_restarted_upstream_no_epoch() {
+fn a_cut_off_entry_sends_no_epoch_to_a_restarted_upstream() {
     let mut pair = Pair::start();
     pair.leader.report();
     pair.run_ms(200, true);
-    let told = |bench: &mut Bench, incarnation| {
-        bench.reports += 1;
-        let sequence = bench.reports;
+    let announced_epoch = |harness: &mut NodeHarness, incarnation| {
+        harness.reports += 1;
+        let sequence = harness.reports;
         let report = UpstreamReport {
             incarnation,
             sequence,
             pool_epoch: 0,
             ..report(sequence)
         };
-        bench.feed(Event::Announced {
+        harness.feed(Event::Announced {
             id: CallId(2_000_000),
             report,
         });
-        let reply = bench.seen.iter().rev().find_map(|effect| match effect {
-            Effect::AnswerAnnounce { reply, .. } => Some(reply.pool_epoch),
-            _ => None,
-        });
+        let reply = harness
+            .effects
+            .iter()
+            .rev()
+            .find_map(|effect| match effect {
+                Effect::AnswerAnnounce { reply, .. } => Some(reply.pool_epoch),
+                _ => None,
+            });
         reply.unwrap()
     };
-    assert_eq!(told(&mut pair.learner, 2), 1, "with recent news");
+    assert_eq!(
+        announced_epoch(&mut pair.learner, 2),
+        1,
+        "with a fresh view"
+    );
     pair.run_ms(2_000, false);
-    assert_eq!(told(&mut pair.learner, 3), 0, "cut off");
+    assert_eq!(announced_epoch(&mut pair.learner, 3), 0, "cut off");
 }
 
-/// An entry instance runs jobs that may run only once, is cut off for two seconds
-/// and is so far behind then that it is given a snapshot. The snapshot says that the
-/// jobs are its own: it began them anew, beside the attempts under way.
+/// An entry instance runs jobs that may run only once, is cut off for two seconds and
+/// then is so far behind that it gets a snapshot. The snapshot shows the jobs as
+/// assigned to it: it started them again, beside the attempts in flight.
 #[test]
-fn a_snapshot_begins_no_job_that_is_under_way() {
+fn a_snapshot_does_not_restart_jobs_in_flight() {
     let mut pair = Pair::start_with(8);
     pair.learner.report();
     pair.run_ms(100, true);
@@ -557,7 +565,7 @@
     }
     pair.run_ms(500, true);
     let sent = pair.learner.sent();
-    assert!(!sent.is_empty(), "it was given jobs");
+    assert!(!sent.is_empty(), "it was assigned jobs");
     let before = pair.learner.node.status(pair.learner.now_ms).applied_index;
     pair.run_ms(100, false);
     for number in 10..50 {
@@ -570,20 +578,20 @@
     assert!(after >= before + 40, "it caught up: {before} {after}");
     let jobs: BTreeSet<_> = pair.learner.sent().into_iter().map(|s| s.key).collect();
     assert_eq!(pair.learner.sent().len(), jobs.len(), "attempts and jobs");
-    pair.learner.end(&sent[0], whole());
+    pair.learner.end_attempt(&sent[0], complete_answer());
     pair.run_ms(500, true);
     assert_eq!(pair.learner.sent().len(), jobs.len(), "after an end");
 }
 
-/// An entry instance restarts, and the leader hears its new start before it is in
-/// the replicated state. Jobs given to the old start would run nowhere, and those
-/// that may run only once would end as unknown although nothing was lost.
+/// An entry instance restarts, and the leader hears its new incarnation before that is
+/// in the replicated state. Jobs assigned to the old incarnation would run nowhere, and
+/// those that may run only once would end as unknown although nothing was lost.
 #[test]
-fn no_job_is_given_to_a_start_that_is_over() {
+fn no_job_is_assigned_to_an_ended_incarnation() {
     let mut pair = Pair::start();
     let now_ms = pair.leader.now_ms;
     let every = NodeSettings::default().snapshot_every;
-    pair.learner = pair_node("a-2", None, 2, now_ms, every);
+    pair.learner = pair_harness("a-2", None, 2, now_ms, every);
     pair.learner.feed(Event::Tick);
     let frame = rosemarygauge::entry::PeerFrame {
         incarnation: 2,
@@ -607,7 +615,7 @@
         pair.leader.feed(Event::Operator { id, request });
         let shown = pair
             .leader
-            .seen
+            .effects
             .iter()
             .rev()
             .find_map(|effect| match effect {
