--- a/src/entry/proposals.rs
+++ b/src/entry/proposals.rs
@@ -2,27 +2,27 @@
 
 use crate::state::{Change, Command, CommandId};
 
-/// Commands this entry instance proposed and has not yet seen applied.
+/// Commands that this entry instance proposed and has not seen applied yet.
 ///
-/// A proposal can be lost on its way to the leader or with the leader. It is
-/// proposed again until it is seen applied or its patience ends; the replicated
-/// state tells the repeated command apart by its id.
+/// A proposal can be lost on its way to the leader, or with the leader. It is resent
+/// until it is seen applied or times out; the replicated state detects a repeated
+/// command by its id.
 #[derive(Debug)]
 pub struct Proposals<P> {
-    open: BTreeMap<u64, Open<P>>,
+    open: BTreeMap<u64, OpenProposal<P>>,
 }
 
 #[derive(Debug)]
-struct Open<P> {
+struct OpenProposal<P> {
     command: Command,
     purpose: P,
     sent_ms: u64,
-    give_up_ms: u64,
+    expires_ms: u64,
 }
 
-/// Time after which an unseen proposal is sent again: several round trips and
-/// two syncs of a healthy log, and shorter than an election.
-const RESEND_MS: u64 = 400;
+/// Time after which a proposal that was not seen applied is resent: several round trips
+/// and two syncs of a healthy log, and shorter than an election.
+const PROPOSAL_RESEND_MS: u64 = 400;
 
 impl<P> Default for Proposals<P> {
     fn default() -> Self {
@@ -33,27 +33,27 @@
 }
 
 impl<P> Proposals<P> {
-    /// Takes charge of a command.
-    pub fn open(&mut self, now_ms: u64, command: Command, purpose: P, patience_ms: u64) {
-        let open = Open {
+    /// Adds a command that is being proposed.
+    pub fn open(&mut self, now_ms: u64, command: Command, purpose: P, timeout_ms: u64) {
+        let open = OpenProposal {
             sent_ms: now_ms,
-            give_up_ms: now_ms.saturating_add(patience_ms),
+            expires_ms: now_ms.saturating_add(timeout_ms),
             command,
             purpose,
         };
         self.open.insert(open.command.id.sequence, open);
     }
 
-    /// The purpose of an applied command, if it was proposed here and is open.
+    /// Removes an applied command; returns its purpose if it was open here.
     pub fn applied(&mut self, id: &CommandId) -> Option<P> {
         self.open.remove(&id.sequence).map(|open| open.purpose)
     }
 
-    /// Commands to send again.
+    /// Returns the commands to resend, and marks them as sent now.
     pub fn due(&mut self, now_ms: u64) -> Vec<Command> {
         let mut due = Vec::new();
         for open in self.open.values_mut() {
-            if open.sent_ms + RESEND_MS <= now_ms {
+            if open.sent_ms + PROPOSAL_RESEND_MS <= now_ms {
                 open.sent_ms = now_ms;
                 due.push(open.command.clone());
             }
@@ -71,15 +71,16 @@
         self.open.is_empty()
     }
 
-    /// Proposals whose patience has ended, with their purpose.
-    pub fn given_up(&mut self, now_ms: u64) -> Vec<(Change, P)> {
-        let over: Vec<u64> = self
+    /// Removes and returns the proposals that have timed out.
+    pub fn take_expired(&mut self, now_ms: u64) -> Vec<(Change, P)> {
+        let expired: Vec<u64> = self
             .open
             .iter()
-            .filter(|(_, open)| open.give_up_ms <= now_ms)
+            .filter(|(_, open)| open.expires_ms <= now_ms)
             .map(|(sequence, _)| *sequence)
             .collect();
-        over.iter()
+        expired
+            .iter()
             .filter_map(|sequence| self.open.remove(sequence))
             .map(|open| (open.command.change, open.purpose))
             .collect()
