--- a/src/maintenance/bounds.rs
+++ b/src/maintenance/bounds.rs
@@ -1,18 +1,19 @@
-//! Lower bounds that no schedule of a wave can beat, whatever it knows.
+//! Lower bounds on the duration and the moves of a wave. No schedule can beat
+//! them, even one that knows all visit times in advance.
 
 use crate::model::{Budget, RackName, Survive};
 
 use super::Room;
 
-/// Largest racks looked at for a bound; more make it no better by much.
-const RACKS_MAX: usize = 4;
+/// Number of largest racks evaluated for a bound; more improve it little.
+const MAX_RACKS_CHECKED: usize = 4;
 
 /// One pool's share of a wave.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolVisits {
     /// The visits.
     pub visits: Vec<Visit>,
-    /// What serves when the wave starts.
+    /// The serving instances when the wave starts.
     pub room: Room,
     /// The pool's budget.
     pub budget: Budget,
@@ -23,40 +24,41 @@
 pub struct Visit {
     /// Its rack.
     pub rack: RackName,
-    /// How long, in milliseconds.
+    /// Duration in milliseconds.
     pub takes_ms: u64,
 }
 
 impl PoolVisits {
-    /// The shortest time with `lent` instances more, in milliseconds; none if
-    /// it cannot be done.
+    /// Returns the shortest time for all visits with `lent` borrowed instances, in
+    /// milliseconds, or none if the budget never allows them.
     ///
-    /// Under a budget that survives a rack, what is out beside any one rack may
-    /// be no more than the room left by that rack's loss, whenever it is out
-    /// itself: that bounds the visits to all others.
+    /// Under a budget that survives a rack, the instances out in all other racks
+    /// may be no more than the loss of any one rack leaves to spare. This bounds
+    /// the visits to the other racks, whenever that rack itself is visited.
     pub fn bound_ms(&self, lent: u32) -> Option<u64> {
-        let all = self.takes_ms(None);
+        let all = self.durations_ms(None);
         let width = self.room.width_bound(&self.budget) + lent;
         let mut bound_ms = visits_bound_ms(all, width)?;
         if self.budget.survive == Survive::Rack {
-            let (size, racks) = self.room.worst_racks();
+            let (size, racks) = self.room.largest_racks();
             let serving = self.room.serving() + lent;
             let width = serving.saturating_sub(self.budget.min_available + size);
-            for rack in racks.take(RACKS_MAX) {
-                let others = self.takes_ms(Some(rack));
+            for rack in racks.take(MAX_RACKS_CHECKED) {
+                let others = self.durations_ms(Some(rack));
                 bound_ms = bound_ms.max(visits_bound_ms(others, width)?);
             }
         }
         Some(bound_ms)
     }
 
-    fn takes_ms(&self, without: Option<&RackName>) -> Vec<u64> {
+    fn durations_ms(&self, without: Option<&RackName>) -> Vec<u64> {
         let visits = self.visits.iter();
         let visits = visits.filter(|visit| Some(&visit.rack) != without);
         visits.map(|visit| visit.takes_ms).collect()
     }
 
-    /// Instances that could be out at once if moves spread them ideally.
+    /// Number of instances that could be out at once if moves spread the pool over
+    /// racks ideally.
     fn ideal_width(&self) -> u32 {
         let reserve = match self.budget.survive {
             Survive::None => 0,
@@ -67,35 +69,35 @@
     }
 }
 
-/// The shortest time in which `width` at once can make the visits, in
-/// milliseconds; none if nothing may be out.
+/// Returns a lower bound on the time for visits of the given durations, `width` of
+/// them in parallel, in milliseconds, or none if `width` is 0.
 ///
-/// The larger of three bounds: the longest visit, the total over the width, and,
-/// for each k, the k + 1 shortest of the k·width + 1 longest, of which k + 1
-/// must follow each other.
-pub fn visits_bound_ms(mut takes_ms: Vec<u64>, width: u32) -> Option<u64> {
-    if takes_ms.is_empty() {
+/// It is the largest of three bounds: the longest visit; the total divided by the
+/// width; and, for each k, the sum of the k + 1 shortest of the k·width + 1 longest
+/// visits, of which some k + 1 must run one after the other.
+pub fn visits_bound_ms(mut durations_ms: Vec<u64>, width: u32) -> Option<u64> {
+    if durations_ms.is_empty() {
         return Some(0);
     }
     if width == 0 {
         return None;
     }
-    takes_ms.sort_unstable_by(|a, b| b.cmp(a));
-    let total_ms: u64 = takes_ms.iter().sum();
-    let mut bound_ms = takes_ms[0].max(total_ms.div_ceil(u64::from(width)));
+    durations_ms.sort_unstable_by(|a, b| b.cmp(a));
+    let total_ms: u64 = durations_ms.iter().sum();
+    let mut bound_ms = durations_ms[0].max(total_ms.div_ceil(u64::from(width)));
     let width = usize::try_from(width).unwrap_or(usize::MAX);
     let mut k = 1;
-    while let Some(end) = width.checked_mul(k).filter(|end| *end < takes_ms.len()) {
-        let chain_ms = takes_ms[end - k..=end].iter().sum();
+    while let Some(end) = width.checked_mul(k).filter(|end| *end < durations_ms.len()) {
+        let chain_ms = durations_ms[end - k..=end].iter().sum();
         bound_ms = bound_ms.max(chain_ms);
         k += 1;
     }
     Some(bound_ms)
 }
 
-/// The shortest roll-out with `loans` instances lent, each from the first moment
-/// on, to the pools that are last, and no shorter than if all room were one
-/// pool's; in milliseconds. None if a pool stays stuck.
+/// Returns a lower bound on the roll-out time in milliseconds, or none if a pool
+/// stays without room. `loans` instances are lent from the start, each to the pool
+/// that finishes last; the result is at least the bound for all pools as one.
 pub fn rollout_bound_ms(pools: &[PoolVisits], loans: u32) -> Option<u64> {
     let mut lent = vec![0; pools.len()];
     for _ in 0..loans {
@@ -103,7 +105,7 @@
             .iter()
             .zip(&lent)
             .map(|(pool, lent)| pool.bound_ms(*lent));
-        // A stuck pool is later than any other.
+        // A pool without room finishes after all others.
         let bounds = bounds.map(|ms| ms.unwrap_or(u64::MAX)).enumerate();
         let (last, _) = bounds.max_by_key(|(_, ms)| *ms)?;
         lent[last] += 1;
@@ -115,15 +117,18 @@
     Some(longest_ms.max(pooled_bound_ms(pools)?))
 }
 
-/// The shortest roll-out if instances could move at once and for nothing, in
-/// milliseconds; none if no pool has room.
+/// Returns the bound if moves took no time and cost nothing, in milliseconds, or
+/// none if no pool has room.
 fn pooled_bound_ms(pools: &[PoolVisits]) -> Option<u64> {
-    let all = pools.iter().flat_map(|pool| pool.takes_ms(None)).collect();
+    let all = pools
+        .iter()
+        .flat_map(|pool| pool.durations_ms(None))
+        .collect();
     visits_bound_ms(all, pools.iter().map(PoolVisits::ideal_width).sum())
 }
 
-/// The fewest moves with which any schedule could be done in `rollout_ms`: each
-/// instance lent from the first moment on, and taken back at the end.
+/// Returns a lower bound on the moves of any schedule that takes `rollout_ms`: each
+/// instance is lent from the start and returned at the end.
 pub fn moves_bound(pools: &[PoolVisits], rollout_ms: u64) -> u32 {
     let each = pools.iter().map(|pool| {
         let most = u32::try_from(pool.visits.len()).unwrap_or(u32::MAX);
--- a/src/maintenance/budget_use.rs
+++ b/src/maintenance/budget_use.rs
@@ -7,32 +7,32 @@
 
 use super::Cause;
 
-/// The arithmetic of one pool's budget.
+/// The use of one pool's budget; its display text shows the calculation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetUse {
     /// The pool.
     pub pool: PoolName,
-    /// Its instances.
+    /// Number of its instances.
     pub members: u32,
-    /// Those that serve.
+    /// Number of instances that serve.
     pub serving: u32,
-    /// Those that do not, each under one cause.
+    /// Numbers of instances that do not serve, by cause.
     pub absent: BTreeMap<Cause, u32>,
-    /// The failure domain still to come.
+    /// The failure domain whose loss the pool must survive.
     pub survive: Survive,
-    /// What would be lost with it.
+    /// Most instances that the loss of one such domain would take out of service.
     pub worst_loss: u32,
-    /// Instances that must be available.
+    /// Number of instances that must be available.
     pub needed: u32,
 }
 
 impl BudgetUse {
-    /// Instances left after the worst loss still to come.
+    /// Number of serving instances left after the worst loss.
     pub fn after(&self) -> u32 {
         self.serving.saturating_sub(self.worst_loss)
     }
 
-    /// Whether the budget holds, the worst loss still to come included.
+    /// Whether the budget holds even after the worst loss.
     pub fn is_whole(&self) -> bool {
         self.after() >= self.needed
     }
@@ -46,8 +46,8 @@
             self.pool, self.serving, self.members
         )?;
         for (i, (cause, count)) in self.absent.iter().enumerate() {
-            let lead = if i == 0 { " (" } else { ", " };
-            write!(f, "{lead}{count} {cause}")?;
+            let separator = if i == 0 { " (" } else { ", " };
+            write!(f, "{separator}{count} {cause}")?;
         }
         if !self.absent.is_empty() {
             write!(f, ")")?;
--- a/src/maintenance/cause.rs
+++ b/src/maintenance/cause.rs
@@ -2,7 +2,7 @@
 
 use crate::model::{Absence, Duty, Instance};
 
-/// Why an instance does not serve, for the budget's arithmetic.
+/// Why an instance does not serve, as counted in the budget use.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, derive_more::Display,
 )]
@@ -22,16 +22,16 @@
     /// It moves to another pool.
     #[display("moving away")]
     Move,
-    /// It is set aside.
+    /// It is excluded until an operator restores it.
     #[display("set aside")]
     SetAside,
-    /// Repair works on it.
+    /// It is being repaired.
     #[display("in repair")]
     Repair,
 }
 
 impl Cause {
-    /// Every cause, in the order of the arithmetic.
+    /// Every cause, in the order in which the budget use lists them.
     pub const ALL: [Self; 7] = [
         Self::Failed,
         Self::Operator,
@@ -42,9 +42,9 @@
         Self::Repair,
     ];
 
-    /// The one cause an instance counts under, none while it serves. What was
-    /// decided comes before the failure, so that an instance which fails while
-    /// it drains is not counted twice.
+    /// Returns the cause under which an instance is counted, or none if it serves.
+    /// A decided absence takes precedence over a failure, so that an instance
+    /// which fails while it drains is not counted twice.
     pub fn of(instance: &Instance, failed: bool) -> Option<Self> {
         match &instance.duty {
             Duty::Serving => failed.then_some(Self::Failed),
--- a/src/maintenance/command.rs
+++ b/src/maintenance/command.rs
@@ -7,8 +7,8 @@
 /// A change of pools, instances or waves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetCommand {
-    /// Creates or replaces a pool. The services it lists must be in no other,
-    /// and a stricter budget must be met by what serves now.
+    /// Creates or replaces a pool. No other pool may carry its services, and the
+    /// instances that serve now must meet a stricter budget.
     PutPool {
         /// The pool.
         pool: Pool,
@@ -29,16 +29,16 @@
         /// The pool it was set up for.
         pool: PoolName,
     },
-    /// An upstream that said it leaves for good is gone.
+    /// Removes an upstream that reported that it leaves for good.
     Leave {
         /// The instance.
         instance: InstanceName,
     },
-    /// The leader saw the instance fail (`true`) or return (`false`).
+    /// The leader detected that the instance failed or recovered.
     Health {
         /// The instance.
         instance: InstanceName,
-        /// Whether it counts as failed.
+        /// `true` if it failed, `false` if it recovered.
         failed: bool,
     },
     /// An operator drains an instance.
@@ -46,7 +46,7 @@
         /// The instance.
         instance: InstanceName,
     },
-    /// An operator lets a drained instance serve again.
+    /// An operator returns a drained instance to service.
     Undrain {
         /// The instance.
         instance: InstanceName,
@@ -58,13 +58,14 @@
         /// The pool it is to join.
         to: PoolName,
     },
-    /// Starts a move that is undone when the borrowing pool can do without it.
+    /// Starts a temporary move: the instance is returned once the borrowing pool
+    /// no longer needs it.
     Lend {
         /// The instance.
         instance: InstanceName,
         /// The pool that borrows it.
         to: PoolName,
-        /// What it is lent for, in words.
+        /// Why it is lent, as text.
         reason: String,
     },
     /// All dispatchers of the old pool have stopped: the instance changes pool.
@@ -74,19 +75,20 @@
         /// The epoch it was drained under.
         epoch: u64,
     },
-    /// Undoes a move half way: the instance stays in its old pool.
+    /// Aborts a move in progress: the instance stays in its old pool.
     AbortMove {
         /// The instance.
         instance: InstanceName,
-        /// Why, in words.
+        /// The reason, as text.
         reason: String,
     },
     /// Starts a maintenance wave.
     StartWave {
-        /// What it does to which instances.
+        /// Its settings.
         spec: WaveSpec,
     },
-    /// Ends a wave: what drains for it serves again, what is away may return.
+    /// Stops a wave: instances that drain for it return to service, and instances
+    /// that are away may still return.
     StopWave {
         /// The wave.
         wave: WaveName,
@@ -98,45 +100,45 @@
         /// The instance.
         instance: InstanceName,
     },
-    /// The drain of a wave took too long: the instance serves again and its
-    /// turn comes later.
+    /// Cancels a wave's drain that took too long: the instance returns to service
+    /// and is visited later.
     PutOff {
         /// The instance.
         instance: InstanceName,
-        /// Why, in words.
+        /// The reason, as text.
         reason: String,
     },
-    /// A drained instance has stopped: it may be rebooted or replaced.
+    /// Records that a drained instance has stopped and may be rebooted or replaced.
     MarkAway {
         /// The instance.
         instance: InstanceName,
         /// The epoch it was drained under.
         epoch: u64,
-        /// The incarnation that was drained; only a later one returns.
+        /// The incarnation that was drained; only a later one may return.
         incarnation: u64,
     },
-    /// Repair takes on a failed instance.
+    /// Starts the repair of a failed instance.
     RepairStart {
         /// The instance.
         instance: InstanceName,
-        /// The incarnation that failed; only a later one returns.
+        /// The incarnation that failed; only a later one may return.
         incarnation: u64,
     },
-    /// An instance that was away is back and stable.
+    /// Returns an instance that was away and is stable again to service.
     Return {
         /// The instance.
         instance: InstanceName,
         /// Its new incarnation.
         incarnation: u64,
     },
-    /// Keeps an instance out until an operator restores it.
+    /// Excludes an instance from service until an operator restores it.
     SetAside {
         /// The instance.
         instance: InstanceName,
-        /// What was seen, in words.
+        /// The reason, as text.
         reason: String,
     },
-    /// An operator gives an instance that was set aside back to its pool.
+    /// An operator returns an instance that was set aside to its pool.
     Restore {
         /// The instance.
         instance: InstanceName,
--- a/src/maintenance/controller.rs
+++ b/src/maintenance/controller.rs
@@ -12,58 +12,61 @@
 mod repairs;
 mod waves;
 
-/// The part of a limit that a controller must have watched itself: half leaves
-/// four times the expected time, and a new leader sets nothing aside at once.
-const WATCHED_PART: u64 = 2;
+/// Divisor of a timeout that gives the time for which this controller itself must
+/// have observed the absence. Half the timeout is still four times the expected
+/// time, and keeps a new leader from setting instances aside at once.
+const WATCHED_DIVISOR: u64 = 2;
 
-/// Runs the fleet's maintenance on the leader: finds failures, proves stops,
-/// finishes moves, runs waves and repairs.
+/// Runs the fleet's maintenance on the leader: detects failures, proves stops,
+/// finishes moves, and runs waves and repairs.
 ///
-/// What it keeps is only memory of what was heard; all that was decided is in
-/// the [`Fleet`]. A new leader starts with an empty controller and loses no more
-/// than waiting times. It may propose what the fleet then refuses: the budget is
-/// checked once more where the log puts commands in one order.
+/// It keeps only observations; all decisions are in the [`Fleet`]. A new leader
+/// starts with an empty controller and loses nothing but elapsed waiting times.
+/// The fleet may refuse a proposal, because it checks the budget again when the
+/// command is applied in log order.
 #[derive(Debug)]
 pub struct Controller {
     settings: ControllerSettings,
     detector: Detector,
     proofs: BTreeMap<InstanceName, StopProof>,
-    /// Instances away that were heard again: the incarnation, and since when.
-    heard_back: BTreeMap<InstanceName, (u64, u64)>,
-    /// Absent instances: the revision seen, and since when.
+    /// Away instances that report again: the incarnation, and the time of its first
+    /// report.
+    returned_since: BTreeMap<InstanceName, (u64, u64)>,
+    /// Absent instances: the revision of their record, and when it was first observed.
     watched: BTreeMap<InstanceName, (u64, u64)>,
     proposed: BTreeMap<InstanceName, Proposed>,
+    /// The last order to each absent instance, its incarnation, and when it was sent.
     ordered: BTreeMap<InstanceName, (PlatformOrder, u64, u64)>,
     broken_since_ms: BTreeMap<PoolName, u64>,
 }
 
-/// A proposal that is not in the fleet yet.
+/// A proposal that is not applied to the fleet yet.
 #[derive(Debug)]
 struct Proposed {
     revision: u64,
-    until_ms: u64,
-    /// Whether it takes a serving instance out of its pool.
-    takes_room: bool,
+    expires_ms: u64,
+    /// Whether it takes a serving instance out of service.
+    takes_serving: bool,
 }
 
-/// One step's view: what was handed in, and what it decided up to now.
+/// Inputs of one step and the actions decided so far.
 struct Step<'a> {
     now_ms: u64,
     fleet: &'a Fleet,
     observed: &'a Observed,
     rooms: BTreeMap<PoolName, Room>,
-    out: Vec<ControllerAction>,
+    actions: Vec<ControllerAction>,
     proposals: usize,
 }
 
 impl Controller {
-    /// A controller of a leader that starts to lead at `now_ms`.
+    /// Creates the controller of a leader whose leadership starts at `now_ms`.
     pub fn new(settings: ControllerSettings, now_ms: u64) -> Self {
         Self {
             settings,
             detector: Detector::new(now_ms),
             proofs: BTreeMap::new(),
-            heard_back: BTreeMap::new(),
+            returned_since: BTreeMap::new(),
             watched: BTreeMap::new(),
             proposed: BTreeMap::new(),
             ordered: BTreeMap::new(),
@@ -71,31 +74,33 @@
         }
     }
 
-    /// Decides on what was heard up to now. To be called each second or so.
+    /// Decides the next actions from the reports so far. The leader calls it about
+    /// once per second.
     pub fn step(
         &mut self,
         now_ms: u64,
         fleet: &Fleet,
         observed: &Observed,
     ) -> Vec<ControllerAction> {
-        self.forget(now_ms, fleet);
+        self.prune(now_ms, fleet);
         let mut step = Step {
             now_ms,
             fleet,
             observed,
-            rooms: self.taken_rooms(fleet),
-            out: Vec::new(),
+            rooms: self.projected_rooms(fleet),
+            actions: Vec::new(),
             proposals: 0,
         };
         self.detect(&mut step);
         self.follow_absences(&mut step);
         self.repair(&mut step);
         self.run_waves(&mut step);
-        self.settle_loans(&mut step);
-        step.out
+        self.update_loans(&mut step);
+        step.actions
     }
 
-    /// What each draining instance still waits for, for `explain`.
+    /// Returns what a draining instance still waits for, as text for `explain`, or none
+    /// if there is no proof in progress.
     pub fn waits_for(
         &self,
         now_ms: u64,
@@ -107,14 +112,14 @@
         Some(verdict.to_string())
     }
 
-    fn forget(&mut self, now_ms: u64, fleet: &Fleet) {
+    fn prune(&mut self, now_ms: u64, fleet: &Fleet) {
         self.proposed.retain(|name, proposed| {
             let revision = fleet.record(name).map(|r| r.revision);
-            revision == Some(proposed.revision) && now_ms < proposed.until_ms
+            revision == Some(proposed.revision) && now_ms < proposed.expires_ms
         });
         let absent = |name: &InstanceName| fleet.absent().contains(name);
         self.proofs.retain(|name, _| absent(name));
-        self.heard_back.retain(|name, _| absent(name));
+        self.returned_since.retain(|name, _| absent(name));
         self.ordered.retain(|name, _| absent(name));
         self.watched.retain(|name, _| absent(name));
         for name in fleet.absent() {
@@ -133,60 +138,62 @@
         }
     }
 
-    /// Rooms of the pools as they will be once the open proposals are applied.
-    fn taken_rooms(&self, fleet: &Fleet) -> BTreeMap<PoolName, Room> {
+    /// Rooms of the pools after the pending proposals are applied. Holds only pools
+    /// that these proposals affect.
+    fn projected_rooms(&self, fleet: &Fleet) -> BTreeMap<PoolName, Room> {
         let mut rooms = BTreeMap::new();
         for (name, proposed) in &self.proposed {
             let instance = fleet.instances().get(name);
-            if let Some(instance) = instance.filter(|_| proposed.takes_room) {
-                room(&mut rooms, fleet, &instance.pool).remove(&instance.rack);
+            if let Some(instance) = instance.filter(|_| proposed.takes_serving) {
+                room(&mut rooms, fleet, &instance.pool).remove_serving(&instance.rack);
             }
         }
         rooms
     }
 
-    /// Proposes a change of one instance, unless one is open already or the step
-    /// has proposed its share.
+    /// Proposes a change of one instance, unless one is pending already or the step
+    /// has reached its limit. Returns whether it did.
     fn propose(&mut self, step: &mut Step<'_>, name: &InstanceName, command: FleetCommand) -> bool {
         let full = step.proposals >= self.settings.proposals_per_step;
         if full || self.proposed.contains_key(name) {
             return false;
         }
-        let takes_room = matches!(
+        let takes_serving = matches!(
             command,
             FleetCommand::BeginAbsence { .. } | FleetCommand::Lend { .. }
         );
-        if let Some(instance) = step.fleet.instances().get(name).filter(|_| takes_room) {
-            step.room(&instance.pool).remove(&instance.rack);
+        if let Some(instance) = step.fleet.instances().get(name).filter(|_| takes_serving) {
+            step.room(&instance.pool).remove_serving(&instance.rack);
         }
         let revision = step.fleet.record(name).map_or(0, |r| r.revision);
-        let until_ms = step.now_ms + self.settings.again_ms;
+        let expires_ms = step.now_ms + self.settings.retry_interval_ms;
         self.proposed.insert(
             name.clone(),
             Proposed {
                 revision,
-                until_ms,
-                takes_room,
+                expires_ms,
+                takes_serving,
             },
         );
         step.proposals += 1;
-        step.out.push(ControllerAction::Propose(command));
+        step.actions.push(ControllerAction::Propose(command));
         true
     }
 
-    /// Whether an absence has lasted longer than `limit_ms`, by the times in the
-    /// log and, for a part of it, by this controller's own watch: a wall clock
-    /// that jumps ahead would else set aside all that reboots at the moment.
-    fn is_overdue(&self, step: &Step<'_>, name: &InstanceName, limit_ms: u64) -> bool {
+    /// Whether an absence has lasted longer than `timeout_ms` by the wall-clock times in
+    /// the log and longer than a part of it by this controller's monotonic clock.
+    /// Otherwise a wall clock that jumps ahead would set aside every instance that
+    /// is rebooting.
+    fn is_overdue(&self, step: &Step<'_>, name: &InstanceName, timeout_ms: u64) -> bool {
         let since_ms = self
             .watched
             .get(name)
             .map_or(step.now_ms, |watched| watched.1);
         let watched_ms = step.now_ms.saturating_sub(since_ms);
-        step.since_ms(name) > limit_ms && watched_ms > limit_ms / WATCHED_PART
+        step.since_ms(name) > timeout_ms && watched_ms > timeout_ms / WATCHED_DIVISOR
     }
 
-    /// Gives an order, again only after a while without effect.
+    /// Sends an order, and repeats it only after the retry interval.
     fn order(
         &mut self,
         step: &mut Step<'_>,
@@ -196,14 +203,16 @@
     ) {
         let known = self.ordered.get(name);
         let recent = known.is_some_and(|(last, to, at_ms)| {
-            *last == order && *to == incarnation && step.now_ms < at_ms + self.settings.again_ms
+            *last == order
+                && *to == incarnation
+                && step.now_ms < at_ms + self.settings.retry_interval_ms
         });
         if recent {
             return;
         }
         let entry = (order, incarnation, step.now_ms);
         self.ordered.insert(name.clone(), entry);
-        step.out.push(ControllerAction::Order {
+        step.actions.push(ControllerAction::Order {
             instance: name.clone(),
             incarnation,
             order,
@@ -220,8 +229,8 @@
         self.observed.instances.get(name)
     }
 
-    /// Time since the instance's duty changed, by the wall clocks of the
-    /// proposers; a new leader needs no memory of its own for it.
+    /// Time since the instance's duty changed, by the wall clocks of the proposers, so
+    /// that a new leader knows it too.
     fn since_ms(&self, name: &InstanceName) -> u64 {
         let since = self.fleet.record(name).map_or(0, |r| r.since_unix_ms);
         self.observed.unix_ms.saturating_sub(since)
@@ -248,7 +257,8 @@
     })
 }
 
-/// Names that a step walks while it changes the controller.
-fn names(set: &BTreeSet<InstanceName>) -> Vec<InstanceName> {
+/// Copies names, so that a step can iterate over them while it changes the
+/// controller.
+fn collect_names(set: &BTreeSet<InstanceName>) -> Vec<InstanceName> {
     set.iter().cloned().collect()
 }
--- a/src/maintenance/controller/absences.rs
+++ b/src/maintenance/controller/absences.rs
@@ -1,22 +1,23 @@
-//! Drains that wait for their proof, moves that finish or are undone, and
-//! instances away that come back or do not.
+//! Follows absent instances: drains until they are proved or time out, moves until
+//! they finish or are aborted, and away instances until they return or time out.
 
 use crate::model::{Absence, Duty, Instance, InstanceName, PoolName, Standing};
 
 use super::super::{FleetCommand, PlatformOrder, StopProof};
 use super::repairs::is_leaving;
-use super::{Controller, Step, names};
+use super::{Controller, Step, collect_names};
 
-/// Times the declared or learnt time after which a drain is given up, or an
-/// instance that does not return is set aside: declared times are off by four.
-const LIMIT_TIMES: u64 = 8;
+/// Timeout of drains and absences as a multiple of the declared or learned time,
+/// since declared times are wrong by up to a factor of four.
+const TIMEOUT_FACTOR: u64 = 8;
 
-/// Least time of both limits: a second's work may still meet a slow platform.
-const LIMIT_MIN_MS: u64 = 60_000;
+/// Least timeout of drains and absences: even with short declared times, the
+/// platform may be slow.
+const MIN_TIMEOUT_MS: u64 = 60_000;
 
 impl Controller {
     pub(super) fn follow_absences(&mut self, step: &mut Step<'_>) {
-        for name in names(step.fleet.absent()) {
+        for name in collect_names(step.fleet.absent()) {
             let Some(instance) = step.fleet.instances().get(&name) else {
                 continue;
             };
@@ -30,7 +31,7 @@
 
     fn follow_drain(&mut self, step: &mut Step<'_>, instance: &Instance, absence: &Absence) {
         if is_leaving(step, &instance.name) {
-            self.let_leave(step, &instance.name);
+            self.remove_leaving(step, &instance.name);
             return;
         }
         let incarnation = step.seen(&instance.name).map(|s| s.report.incarnation);
@@ -47,15 +48,15 @@
 
     fn follow_move(&mut self, step: &mut Step<'_>, instance: &Instance, to: &PoolName) {
         let name = &instance.name;
-        // A dead instance would take its failure into the new pool, and the old
-        // one would not be told that its spare is lost.
+        // A failed instance would carry its failure into the new pool, and the old
+        // pool's budget would not count the loss.
         if step.fleet.is_failed(name) {
-            let reason = "it failed half way".to_owned();
+            let reason = "it failed during the move".to_owned();
             let instance = name.clone();
             self.propose(step, name, FleetCommand::AbortMove { instance, reason });
             return;
         }
-        let verdict = self.prove(step, instance);
+        let verdict = self.check_stopped(step, instance);
         if verdict.is_ok() && step.fleet.pools().contains_key(to) {
             let command = FleetCommand::FinishMove {
                 instance: name.clone(),
@@ -68,9 +69,10 @@
     fn follow_stop(&mut self, step: &mut Step<'_>, instance: &Instance) {
         let name = &instance.name;
         let incarnation = step.seen(name).map(|s| s.report.incarnation);
-        let verdict = self.prove(step, instance);
-        // A silent instance is restarted without proof: what ran on it is lost
-        // already. One that fails what it is given but answers is not silent.
+        let verdict = self.check_stopped(step, instance);
+        // A failed instance that sends no reports is restarted without proof, because
+        // its requests are lost already. One that still reports needs the proof,
+        // even if it fails its requests.
         let lost = step.fleet.is_failed(name) && !self.is_heard(step, name);
         let stopped = verdict.is_ok() || lost;
         if let Some(incarnation) = incarnation.filter(|_| stopped) {
@@ -82,27 +84,30 @@
             self.propose(step, name, command);
             return;
         }
-        let drain_ms = self.declared(step, instance).0;
-        if self.is_overdue(step, name, limit_ms(drain_ms)) {
+        let drain_ms = self.expected_times_ms(step, instance).0;
+        if self.is_overdue(step, name, timeout_ms(drain_ms)) {
             let reason = verdict
                 .err()
-                .unwrap_or_else(|| "it was never heard".to_owned());
+                .unwrap_or_else(|| "it has never sent a report".to_owned());
             let instance = name.clone();
             self.propose(step, name, FleetCommand::PutOff { instance, reason });
         }
     }
 
-    /// Feeds the instance's proof; if there is none yet, what it waits for.
-    fn prove(&mut self, step: &Step<'_>, instance: &Instance) -> Result<(), String> {
+    /// Records the instance's last report in its stop proof and checks the proof.
+    ///
+    /// # Errors
+    /// Returns what the proof still waits for, as text.
+    fn check_stopped(&mut self, step: &Step<'_>, instance: &Instance) -> Result<(), String> {
         let name = &instance.name;
         let index = step.observed.applied_index;
-        let fresh = || StopProof::new(instance.epoch, index);
-        let proof = self.proofs.entry(name.clone()).or_insert_with(fresh);
+        let new_proof = || StopProof::new(instance.epoch, index);
+        let proof = self.proofs.entry(name.clone()).or_insert_with(new_proof);
         if proof.epoch() != instance.epoch {
-            *proof = fresh();
+            *proof = new_proof();
         }
         if let Some(seen) = step.seen(name) {
-            proof.hear(seen);
+            proof.record_report(seen);
         }
         let verdict = proof.verdict(step.now_ms, &self.settings, name, step.observed);
         if verdict.is_stopped() {
@@ -118,7 +123,7 @@
         }
         let name = &instance.name;
         let left = step.fleet.record(name).map_or(0, |r| r.left_incarnation);
-        if let Some(incarnation) = self.back_as(step, name, left) {
+        if let Some(incarnation) = self.stable_incarnation(step, name, left) {
             let instance = name.clone();
             let command = FleetCommand::Return {
                 instance,
@@ -127,14 +132,14 @@
             self.propose(step, name, command);
             return;
         }
-        let away_ms = self.declared(step, instance).1;
-        if self.is_overdue(step, name, limit_ms(away_ms)) {
+        let away_ms = self.expected_times_ms(step, instance).1;
+        if self.is_overdue(step, name, timeout_ms(away_ms)) {
             let instance = name.clone();
-            let reason = format!("it did not return within {} s", limit_ms(away_ms) / 1_000);
+            let reason = format!("it did not return within {} s", timeout_ms(away_ms) / 1_000);
             self.propose(step, name, FleetCommand::SetAside { instance, reason });
             return;
         }
-        if !self.heard_back.contains_key(name) {
+        if !self.returned_since.contains_key(name) {
             let order = self.away_order(step, name, absence, away_ms);
             self.order(step, name, left, order);
         }
@@ -145,9 +150,9 @@
         seen.is_some_and(|s| s.is_fresh(step.now_ms, self.settings.failed_after_ms))
     }
 
-    /// A sick instance that still answers drains first, or its restart would cut
-    /// off what still runs on it. A reboot without effect for half the time it is given becomes a
-    /// replacement: the machine may be beyond a restart.
+    /// Returns the order for an away instance. One that still reports running requests
+    /// drains first, because a restart would abort them. A reboot without effect for
+    /// half the timeout becomes a replacement, since the machine may be broken.
     fn away_order(
         &self,
         step: &Step<'_>,
@@ -160,17 +165,23 @@
             seen.report.incarnation == left && seen.report.running > 0 && self.is_heard(step, name)
         });
         let replace = matches!(absence, Absence::Replace { .. });
-        if busy && step.since_ms(name) < limit_ms(away_ms) / 4 {
+        if busy && step.since_ms(name) < timeout_ms(away_ms) / 4 {
             PlatformOrder::Drain
-        } else if replace || self.is_overdue(step, name, limit_ms(away_ms) / 2) {
+        } else if replace || self.is_overdue(step, name, timeout_ms(away_ms) / 2) {
             PlatformOrder::Replace
         } else {
             PlatformOrder::Reboot
         }
     }
 
-    /// The incarnation under which an instance is back and was stable.
-    fn back_as(&mut self, step: &Step<'_>, name: &InstanceName, left: u64) -> Option<u64> {
+    /// Returns the incarnation under which an instance has been back for the stable
+    /// time, if it has.
+    fn stable_incarnation(
+        &mut self,
+        step: &Step<'_>,
+        name: &InstanceName,
+        left: u64,
+    ) -> Option<u64> {
         let back = step.seen(name).filter(|seen| {
             seen.report.incarnation > left
                 && seen.report.standing != Standing::Leaving
@@ -178,12 +189,12 @@
                 && seen.is_fresh(step.now_ms, self.settings.failed_after_ms)
         });
         let Some(incarnation) = back.map(|seen| seen.report.incarnation) else {
-            self.heard_back.remove(name);
+            self.returned_since.remove(name);
             return None;
         };
-        let heard = self.heard_back.entry(name.clone());
+        let heard = self.returned_since.entry(name.clone());
         let heard = heard.or_insert((incarnation, step.now_ms));
-        // One that restarts again and again never becomes stable.
+        // An instance that restarts repeatedly never becomes stable.
         if heard.0 != incarnation {
             *heard = (incarnation, step.now_ms);
         }
@@ -191,9 +202,9 @@
         stable.then_some(incarnation)
     }
 
-    /// Declared times of an instance's drain and absence, the longer of the
-    /// declared and the learnt one.
-    fn declared(&self, step: &Step<'_>, instance: &Instance) -> (u64, u64) {
+    /// Expected times of an instance's drain and absence: the longer of the declared
+    /// and the learned one each.
+    fn expected_times_ms(&self, step: &Step<'_>, instance: &Instance) -> (u64, u64) {
         let wave = match &instance.duty {
             Duty::Draining { absence } | Duty::Away { absence } => match absence {
                 Absence::Reboot { wave } | Absence::Replace { wave } => Some(wave),
@@ -203,15 +214,15 @@
         };
         let wave = wave.and_then(|name| step.fleet.waves().get(name));
         let Some(wave) = wave else {
-            let repair_ms = self.settings.repair_limit_ms / LIMIT_TIMES;
+            let repair_ms = self.settings.repair_timeout_ms / TIMEOUT_FACTOR;
             return (0, repair_ms);
         };
-        let learnt_ms = wave.visit_ms();
-        let drain_ms = wave.spec.drain_ms.max(learnt_ms / 2);
-        (drain_ms, wave.spec.absence_ms.max(learnt_ms))
+        let learned_ms = wave.visit_ms();
+        let drain_ms = wave.spec.drain_ms.max(learned_ms / 2);
+        (drain_ms, wave.spec.absence_ms.max(learned_ms))
     }
 }
 
-fn limit_ms(expected_ms: u64) -> u64 {
-    (LIMIT_TIMES * expected_ms).max(LIMIT_MIN_MS)
+fn timeout_ms(expected_ms: u64) -> u64 {
+    (TIMEOUT_FACTOR * expected_ms).max(MIN_TIMEOUT_MS)
 }
--- a/src/maintenance/controller/repairs.rs
+++ b/src/maintenance/controller/repairs.rs
@@ -1,17 +1,16 @@
-//! Failures found, and failed instances restored or replaced unasked.
+//! Detects failures, and repairs failed instances without an operator.
 
 use std::collections::BTreeMap;
 
 use crate::model::{Absence, Duty, Instance, InstanceName, Standing, ZoneName};
 
 use super::super::FleetCommand;
-use super::{Controller, Step, names};
+use super::{Controller, Step, collect_names};
 
 impl Controller {
     pub(super) fn detect(&mut self, step: &mut Step<'_>) {
         let fleet = step.fleet;
-        // Both are in order: walking them side by side saves a search for each
-        // instance.
+        // Both maps are sorted by name: a merge of the two saves a lookup per instance.
         let mut heard = step.observed.instances.iter().peekable();
         for (name, instance) in fleet.instances() {
             while heard.next_if(|(other, _)| *other < name).is_some() {}
@@ -21,9 +20,9 @@
             }
             let failed = fleet.is_failed(name);
             let seen = seen.map(|(_, seen)| seen);
-            let change = self
-                .detector
-                .judge(step.now_ms, &self.settings, name, failed, seen);
+            let change =
+                self.detector
+                    .health_change(step.now_ms, &self.settings, name, failed, seen);
             if let Some(failed) = change {
                 let instance = name.clone();
                 self.propose(step, name, FleetCommand::Health { instance, failed });
@@ -35,9 +34,9 @@
         if step.fleet.failed().is_empty() {
             return;
         }
-        let cut_off = cut_off_zones(step);
+        let partitioned = partitioned_zones(step);
         let mut running = self.repairs_running(step);
-        for name in names(step.fleet.failed()) {
+        for name in collect_names(step.fleet.failed()) {
             let Some(instance) = step.fleet.instances().get(&name) else {
                 continue;
             };
@@ -45,17 +44,17 @@
                 continue;
             }
             if is_leaving(step, &name) {
-                self.let_leave(step, &name);
+                self.remove_leaving(step, &name);
                 continue;
             }
-            let early = step.since_ms(&name) < self.settings.repair_after_ms;
-            if early || cut_off.contains(&&instance.zone) {
+            let may_recover = step.since_ms(&name) < self.settings.repair_after_ms;
+            if may_recover || partitioned.contains(&&instance.zone) {
                 continue;
             }
-            if self.give_up(step, instance) {
+            if self.set_aside_after_repairs(step, instance) {
                 continue;
             }
-            if running < self.settings.repairs_at_once && self.start_repair(step, &name) {
+            if running < self.settings.max_concurrent_repairs && self.start_repair(step, &name) {
                 running += 1;
             }
         }
@@ -79,9 +78,10 @@
         self.propose(step, name, command)
     }
 
-    /// Sets aside an instance that failed again and again after its repairs: it
-    /// would take a share of requests with it each time.
-    fn give_up(&mut self, step: &mut Step<'_>, instance: &Instance) -> bool {
+    /// Sets aside an instance that failed again after its most recent repairs, since
+    /// requests would be lost with each further failure. Returns whether the limit of
+    /// repairs is reached.
+    fn set_aside_after_repairs(&mut self, step: &mut Step<'_>, instance: &Instance) -> bool {
         let name = &instance.name;
         let window_ms = self.settings.repair_window_ms;
         let since = step.observed.unix_ms.saturating_sub(window_ms);
@@ -89,7 +89,7 @@
             .fleet
             .record(name)
             .map_or(0, |r| r.repairs_since(since));
-        let max = usize::try_from(self.settings.repairs_max).unwrap_or(usize::MAX);
+        let max = usize::try_from(self.settings.max_repairs).unwrap_or(usize::MAX);
         if repairs < max {
             return false;
         }
@@ -100,9 +100,9 @@
         true
     }
 
-    /// Forgets an upstream that leaves once nothing runs on it, or it is silent.
-    /// Until then it is not repaired: a restart would cut off what it finishes.
-    pub(super) fn let_leave(&mut self, step: &mut Step<'_>, name: &InstanceName) {
+    /// Removes a leaving upstream once nothing runs on it or its reports stop. It is
+    /// not repaired before, because a restart would abort its running requests.
+    pub(super) fn remove_leaving(&mut self, step: &mut Step<'_>, name: &InstanceName) {
         let fresh_ms = self.settings.failed_after_ms;
         let busy = step
             .seen(name)
@@ -115,19 +115,21 @@
     }
 }
 
-/// Whether an upstream last said that it leaves for good.
+/// Whether the last report of an upstream says that it leaves for good.
 pub(super) fn is_leaving(step: &Step<'_>, name: &InstanceName) -> bool {
     let standing = step.seen(name).map(|seen| seen.report.standing);
     standing == Some(Standing::Leaving)
 }
 
-/// Zones of which more than half the instances failed. They are rather cut off
-/// than broken: rebooting them would stop a zone that goes on serving by itself.
-fn cut_off_zones<'a>(step: &Step<'a>) -> Vec<&'a ZoneName> {
+/// Zones in which more than half of the instances failed. A network partition is more
+/// likely than that many failures, and rebooting the instances would stop a zone that
+/// still serves its own callers.
+fn partitioned_zones<'a>(step: &Step<'a>) -> Vec<&'a ZoneName> {
     let mut zones: BTreeMap<&ZoneName, (usize, usize)> = BTreeMap::new();
     for (name, instance) in step.fleet.instances() {
-        // Those out by decision say nothing of the zone: counted in, a few set
-        // aside and a few lost together would stop all repair for good.
+        // Instances that are away by decision say nothing about the zone. If they
+        // counted, a few set aside and a few failed ones together would stop all
+        // repairs in the zone permanently.
         if matches!(instance.duty, Duty::Away { .. }) {
             continue;
         }
@@ -135,10 +137,10 @@
         *all += 1;
         *failed += usize::from(step.fleet.is_failed(name));
     }
-    let cut_off = |(_, (all, failed)): &(&ZoneName, (usize, usize))| failed * 2 > *all;
+    let partitioned = |(_, (all, failed)): &(&ZoneName, (usize, usize))| failed * 2 > *all;
     zones
         .into_iter()
-        .filter(cut_off)
+        .filter(partitioned)
         .map(|(zone, _)| zone)
         .collect()
 }
--- a/src/maintenance/controller/waves.rs
+++ b/src/maintenance/controller/waves.rs
@@ -1,4 +1,4 @@
-//! Waves: the next instances to take out.
+//! Runs waves: proposes the next instances to take out of service.
 
 use crate::model::{Duty, InstanceName, PoolName};
 
@@ -13,20 +13,22 @@
             if wave.state != WaveState::Running {
                 continue;
             }
-            // A free slot may be worth more to the pool that is last.
-            self.lend_for(step, wave);
+            // Loans come first: a free slot may save more time in the pool that finishes
+            // last.
+            self.lend_for_wave(step, wave);
             for pool in wave.pending.keys() {
-                while self.visit(step, wave, pool) {}
+                while self.propose_visit(step, wave, pool) {}
             }
         }
     }
 
-    /// Proposes the next visit in a pool, if its budget has room.
-    fn visit(&mut self, step: &mut Step<'_>, wave: &Wave, pool: &PoolName) -> bool {
+    /// Proposes the next visit in a pool, if its budget has room, and returns whether it
+    /// did.
+    fn propose_visit(&mut self, step: &mut Step<'_>, wave: &Wave, pool: &PoolName) -> bool {
         let Some(budget) = step.fleet.pools().get(pool).map(|p| p.budget) else {
             return false;
         };
-        // Most steps find no room: they must not walk the pool's pending ones.
+        // Most steps find no room and must not iterate over the pending instances.
         if step.room(pool).width_bound(&budget) == 0 {
             return false;
         }
@@ -35,7 +37,7 @@
         let put_off = |name: &InstanceName| wave.put_off.get(name).copied().unwrap_or(0);
         let ready = pending.filter(|name| self.is_ready(step, name));
         let ready: Vec<&InstanceName> = ready.collect();
-        // One whose drain failed waits until all others had their turn.
+        // An instance that was put off waits until all others have been visited.
         let least = ready.iter().map(|name| put_off(name)).min();
         let ready = ready
             .into_iter()
--- a/src/maintenance/controller_action.rs
+++ b/src/maintenance/controller_action.rs
@@ -2,37 +2,37 @@
 
 use super::FleetCommand;
 
-/// What the controller wants done.
+/// An action requested by the controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControllerAction {
-    /// Put the command in the log.
+    /// Propose the command to the replicated log.
     Propose(FleetCommand),
-    /// Hand the order to the upstream or to the platform; it may be lost, and
-    /// comes again until it shows.
+    /// Send the order to the upstream or to the platform. Orders may be lost; they
+    /// are repeated until they take effect.
     Order {
         /// The instance.
         instance: InstanceName,
-        /// The incarnation it is for; void for any later one, so that an order
-        /// that arrives late does not reboot an instance twice.
+        /// The incarnation it is for. It is void for any later one, so that a late
+        /// order does not reboot an instance twice.
         incarnation: u64,
         /// The order.
         order: PlatformOrder,
     },
 }
 
-/// What the platform does to an instance.
+/// An order for one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, derive_more::Display)]
 pub enum PlatformOrder {
-    /// Take nothing new, finish or checkpoint what runs.
+    /// Accept no new requests; finish or checkpoint the running ones.
     #[display("drain")]
     Drain,
     /// Restart.
     #[display("reboot")]
     Reboot,
-    /// Give the name to another machine.
+    /// Replace the machine by another one with the same name.
     #[display("replace")]
     Replace,
-    /// Stop for good.
+    /// Stop permanently.
     #[display("stop")]
     Stop,
 }
--- a/src/maintenance/fleet.rs
+++ b/src/maintenance/fleet.rs
@@ -11,7 +11,7 @@
 mod moves;
 mod waves;
 
-/// Pools, instances, moves and waves as every process agrees on them.
+/// Replicated state of pools, instances, moves and waves.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
     pools: BTreeMap<PoolName, Pool>,
@@ -19,9 +19,9 @@
     failed: BTreeSet<InstanceName>,
     carriers: BTreeMap<ServiceName, PoolName>,
     tallies: BTreeMap<PoolName, Tally>,
-    /// Instances that do not have the duty to serve.
+    /// Instances with another duty than to serve.
     absent: BTreeSet<InstanceName>,
-    /// Instances lent, and the pool each goes back to.
+    /// Lent instances, each with the pool it returns to.
     loans: BTreeMap<InstanceName, PoolName>,
     waves: BTreeMap<WaveName, Wave>,
     /// Pools whose budget does not hold.
@@ -31,10 +31,11 @@
 }
 
 impl Fleet {
-    /// Applies one command; the same commands give the same fleet everywhere.
+    /// Applies one command. This is deterministic: the same commands lead to the same
+    /// fleet on every process.
     ///
     /// # Errors
-    /// The reason why the command was refused; the fleet is unchanged.
+    /// Returns the reason if the command is refused; the fleet is then unchanged.
     pub fn apply(&mut self, at_unix_ms: u64, command: &FleetCommand) -> Result<(), FleetRefusal> {
         match command {
             FleetCommand::PutPool { pool } => self.put_pool(at_unix_ms, pool),
@@ -107,12 +108,12 @@
         &self.failed
     }
 
-    /// Instances that do not have the duty to serve.
+    /// Instances with another duty than to serve.
     pub fn absent(&self) -> &BTreeSet<InstanceName> {
         &self.absent
     }
 
-    /// Instances lent, and the pool each goes back to.
+    /// Lent instances, each with the pool it returns to.
     pub fn loans(&self) -> &BTreeMap<InstanceName, PoolName> {
         &self.loans
     }
@@ -122,7 +123,7 @@
         &self.broken
     }
 
-    /// Waves by name, the last ones that ended included.
+    /// Waves by name, including the most recently ended ones.
     pub fn waves(&self) -> &BTreeMap<WaveName, Wave> {
         &self.waves
     }
@@ -137,32 +138,32 @@
         &self.carriers
     }
 
-    /// The arithmetic of a pool's budget.
+    /// The use of a pool's budget.
     pub fn budget_use(&self, pool: &PoolName) -> Option<BudgetUse> {
         Some(self.tallies.get(pool)?.budget_use(self.pools.get(pool)?))
     }
 
-    /// What a pool's instances do.
+    /// Counts of a pool's instances by what they do.
     pub fn tally(&self, pool: &PoolName) -> Option<&Tally> {
         self.tallies.get(pool)
     }
 
-    /// What is remembered of an instance.
+    /// The history of an instance.
     pub fn record(&self, instance: &InstanceName) -> Option<&Record> {
         self.records.get(instance)
     }
 
-    /// What was decided about an instance.
+    /// The audit trail of an instance.
     pub fn explain_instance(&self, instance: &InstanceName) -> Option<&Trail> {
         self.records.get(instance).map(|record| &record.trail)
     }
 
-    /// What was decided about a pool.
+    /// The audit trail of a pool.
     pub fn explain_pool(&self, pool: &PoolName) -> Option<&Trail> {
         self.pool_trails.get(pool)
     }
 
-    /// What was decided about a wave.
+    /// The audit trail of a wave.
     pub fn explain_wave(&self, wave: &WaveName) -> Option<&Trail> {
         self.waves.get(wave).map(|wave| &wave.trail)
     }
@@ -177,8 +178,8 @@
         found.ok_or_else(|| FleetRefusal::UnknownPool(name.clone()))
     }
 
-    /// Refuses a voluntary absence that the pool's budget has no room for. An
-    /// instance that is absent already costs nothing more.
+    /// Refuses a voluntary absence for which the pool's budget has no room. An
+    /// instance that is absent already uses no more of the budget.
     fn check_absence(&self, instance: &Instance) -> Result<(), FleetRefusal> {
         if instance.duty != Duty::Serving || self.is_failed(&instance.name) {
             return Ok(());
@@ -191,15 +192,15 @@
             return Ok(());
         }
         let mut room = tally.room().clone();
-        room.remove(&instance.rack);
+        room.remove_serving(&instance.rack);
         let mut after = tally.budget_use(pool);
         after.serving = room.serving();
         after.worst_loss = room.worst_loss(pool.budget.survive);
         Err(FleetRefusal::Budget { after })
     }
 
-    /// The one place where an instance changes: counts it out, changes it and
-    /// counts it in again, so that no tally is ever left behind.
+    /// Changes an instance and updates the tallies. Every change of an instance goes
+    /// through this function, so that the tallies always match.
     fn change(
         &mut self,
         at_unix_ms: u64,
@@ -230,16 +231,22 @@
         record.revision += 1;
         record.since_unix_ms = at_unix_ms;
         record.trail.note(at_unix_ms, note);
-        self.review(at_unix_ms, &old);
+        self.update_broken(at_unix_ms, &old);
         if new != old {
-            self.review(at_unix_ms, &new);
+            self.update_broken(at_unix_ms, &new);
         }
     }
 
-    /// Gives an instance the duty to serve in `pool` under the next epoch. The
-    /// epoch rises at each return to service, not only at a change of pool: a
-    /// late report from an earlier drain can then not pass for this one's proof.
-    fn serve(&mut self, at_unix_ms: u64, name: &InstanceName, pool: &PoolName, note: &str) {
+    /// Makes an instance serve in `pool` under the next epoch. The epoch increases
+    /// with each return to service, not only with a change of pool, so that a late
+    /// report of an earlier drain cannot prove the stop of a later one.
+    fn return_to_service(
+        &mut self,
+        at_unix_ms: u64,
+        name: &InstanceName,
+        pool: &PoolName,
+        note: &str,
+    ) {
         self.change(at_unix_ms, name, note, |instance| {
             instance.pool = pool.clone();
             instance.epoch += 1;
@@ -257,8 +264,8 @@
         trail.note(at_unix_ms, text);
     }
 
-    /// Sees whether a pool's budget was broken or became whole.
-    fn review(&mut self, at_unix_ms: u64, name: &PoolName) {
+    /// Updates whether a pool's budget is broken, and the waves that depend on it.
+    fn update_broken(&mut self, at_unix_ms: u64, name: &PoolName) {
         let Some(used) = self.budget_use(name) else {
             self.broken.remove(name);
             return;
@@ -272,7 +279,7 @@
             self.note_pool(at_unix_ms, name, &used.to_string());
         }
         if changed || !self.broken.is_empty() {
-            self.review_waves(at_unix_ms);
+            self.update_wave_states(at_unix_ms);
         }
     }
 }
--- a/src/maintenance/fleet/absences.rs
+++ b/src/maintenance/fleet/absences.rs
@@ -31,7 +31,7 @@
             return Err(wrong_duty(instance, "no operator drained it"));
         }
         let pool = instance.pool.clone();
-        self.serve(at_unix_ms, name, &pool, "undrained by an operator");
+        self.return_to_service(at_unix_ms, name, &pool, "undrained by an operator");
         Ok(())
     }
 
@@ -64,7 +64,7 @@
                 instance.duty = Duty::Away { absence };
             },
         );
-        self.left(name, incarnation);
+        self.record_left_incarnation(name, incarnation);
         Ok(())
     }
 
@@ -82,9 +82,9 @@
         self.change(at_unix_ms, name, "repair started: it failed", |instance| {
             instance.duty = Duty::Away { absence };
         });
-        self.left(name, incarnation);
+        self.record_left_incarnation(name, incarnation);
         if let Some(record) = self.records.get_mut(name) {
-            record.repaired(at_unix_ms);
+            record.record_repair(at_unix_ms);
         }
         Ok(())
     }
@@ -113,8 +113,8 @@
         }
         let pool = instance.pool.clone();
         self.health(at_unix_ms, name, false)?;
-        self.serve(at_unix_ms, name, &pool, "returned");
-        self.returned_in_waves(at_unix_ms, name, &pool, &absence);
+        self.return_to_service(at_unix_ms, name, &pool, "returned");
+        self.record_return_in_waves(at_unix_ms, name, &pool, &absence);
         Ok(())
     }
 
@@ -145,26 +145,26 @@
         name: &InstanceName,
     ) -> Result<(), FleetRefusal> {
         let instance = self.instance(name)?;
-        let aside = matches!(
+        let is_set_aside = matches!(
             &instance.duty,
             Duty::Away {
                 absence: Absence::SetAside { .. }
             }
         );
-        if !aside {
+        if !is_set_aside {
             return Err(wrong_duty(instance, "it was not set aside"));
         }
         let pool = instance.pool.clone();
-        self.serve(at_unix_ms, name, &pool, "restored by an operator");
+        self.return_to_service(at_unix_ms, name, &pool, "restored by an operator");
         if let Some(record) = self.records.get_mut(name) {
             record.repairs_unix_ms.clear();
         }
         Ok(())
     }
 
-    /// Refuses to take out an instance that does not serve. A failed one costs its
-    /// budget nothing more, but drained it could not come back to a pool that
-    /// may be broken over it.
+    /// Refuses to take out an instance that does not serve. Draining a failed instance
+    /// would use no more of the budget, but would keep it from returning to a pool
+    /// whose budget may be broken by its failure.
     pub(super) fn check_serves(&self, instance: &Instance) -> Result<(), FleetRefusal> {
         if instance.duty != Duty::Serving {
             return Err(wrong_duty(instance, "wait until it serves"));
@@ -179,20 +179,20 @@
         Ok(())
     }
 
-    /// Remembers the incarnation that left, never an older one.
-    fn left(&mut self, name: &InstanceName, incarnation: u64) {
+    /// Records the incarnation that left, never replacing it by an older one.
+    fn record_left_incarnation(&mut self, name: &InstanceName, incarnation: u64) {
         if let Some(record) = self.records.get_mut(name) {
             record.left_incarnation = record.left_incarnation.max(incarnation);
         }
     }
 }
 
-/// The refusal of a change that does not fit what the instance is doing.
+/// Creates the refusal of a change that the instance's duty does not allow.
 pub(super) fn wrong_duty(instance: &Instance, remedy: &str) -> FleetRefusal {
     let duty = match &instance.duty {
         Duty::Serving => "serving".to_owned(),
-        Duty::Draining { absence } => format!("draining ({})", words(absence)),
-        Duty::Away { absence } => format!("away ({})", words(absence)),
+        Duty::Draining { absence } => format!("draining ({})", describe_absence(absence)),
+        Duty::Away { absence } => format!("away ({})", describe_absence(absence)),
     };
     FleetRefusal::WrongDuty {
         instance: instance.name.clone(),
@@ -201,7 +201,7 @@
     }
 }
 
-fn words(absence: &Absence) -> String {
+fn describe_absence(absence: &Absence) -> String {
     match absence {
         Absence::Operator => "by an operator".to_owned(),
         Absence::Reboot { wave } => format!("wave {wave} reboots it"),
--- a/src/maintenance/fleet/membership.rs
+++ b/src/maintenance/fleet/membership.rs
@@ -1,4 +1,4 @@
-//! Pools and who is in them, failures included.
+//! Pools, their instances and the instances' health.
 
 use crate::model::{
     Budget, Duty, Instance, InstanceName, Pool, PoolName, RackName, Survive, ZoneName,
@@ -31,20 +31,20 @@
         } = pool.budget;
         let note = format!("budget set: {min_available} available, survives {survive}");
         self.note_pool(at_unix_ms, &pool.name, &note);
-        self.review(at_unix_ms, &pool.name);
+        self.update_broken(at_unix_ms, &pool.name);
         Ok(())
     }
 
-    /// A budget above what serves now would be broken from its first moment and
-    /// hold up every wave: a typing slip such as 8 for 80. A looser one is let
-    /// in even if it does not hold yet.
+    /// Refuses a budget that the serving instances do not meet, such as 80 typed for
+    /// 8: it would be broken at once and pause every wave. A looser budget than the
+    /// current one is accepted even if it does not hold yet.
     fn check_budget(&self, pool: &Pool) -> Result<(), FleetRefusal> {
         let Some(tally) = self.tallies.get(&pool.name) else {
             return Ok(());
         };
         let after = tally.budget_use(pool);
         let looser = self.pools.get(&pool.name).is_some_and(|old| {
-            rank(pool.budget.survive) <= rank(old.budget.survive)
+            strictness(pool.budget.survive) <= strictness(old.budget.survive)
                 && pool.budget.min_available <= old.budget.min_available
         });
         if after.members == 0 || looser || after.is_whole() {
@@ -56,9 +56,9 @@
     pub(super) fn remove_pool(&mut self, name: &PoolName) -> Result<(), FleetRefusal> {
         self.pool(name)?;
         let members = self.budget_use(name).map_or(0, |used| used.members);
-        let awaited = self.absent.iter().any(|i| self.moving_to(i) == Some(name));
-        let owed = self.loans.values().any(|home| home == name);
-        if members > 0 || awaited || owed {
+        let has_incoming = self.absent.iter().any(|i| self.moving_to(i) == Some(name));
+        let has_lent = self.loans.values().any(|home| home == name);
+        if members > 0 || has_incoming || has_lent {
             let pool = name.clone();
             return Err(FleetRefusal::PoolInUse { pool, members });
         }
@@ -96,7 +96,7 @@
         let record = self.records.entry(name.clone()).or_default();
         record.since_unix_ms = at_unix_ms;
         record.trail.note(at_unix_ms, format!("joined pool {pool}"));
-        self.review(at_unix_ms, pool);
+        self.update_broken(at_unix_ms, pool);
         Ok(())
     }
 
@@ -116,7 +116,7 @@
         self.records.remove(name);
         self.drop_from_waves(at_unix_ms, name, &instance.pool, "it left for good");
         self.note_pool(at_unix_ms, &instance.pool, &format!("{name} left for good"));
-        self.review(at_unix_ms, &instance.pool);
+        self.update_broken(at_unix_ms, &instance.pool);
         Ok(())
     }
 
@@ -148,12 +148,12 @@
             record.since_unix_ms = at_unix_ms;
         }
         self.note_instance(at_unix_ms, name, text);
-        self.review(at_unix_ms, &pool);
+        self.update_broken(at_unix_ms, &pool);
         Ok(())
     }
 }
 
-fn rank(survive: Survive) -> u8 {
+fn strictness(survive: Survive) -> u8 {
     match survive {
         Survive::None => 0,
         Survive::Instance => 1,
--- a/src/maintenance/fleet/moves.rs
+++ b/src/maintenance/fleet/moves.rs
@@ -1,5 +1,5 @@
-//! Moves between pools. An instance belongs to its old pool until the move
-//! finishes, so that it is in exactly one pool at any moment.
+//! Moves between pools. An instance stays in its old pool until the move finishes,
+//! so that it is in exactly one pool at any time.
 
 use crate::model::{Absence, Duty, Instance, InstanceName, PoolName};
 
@@ -7,7 +7,7 @@
 use super::{Fleet, FleetRefusal};
 
 impl Fleet {
-    /// The pool an instance moves to.
+    /// The target pool of an instance's move, if it moves.
     pub fn moving_to(&self, name: &InstanceName) -> Option<&PoolName> {
         move_target(&self.instances.get(name)?.duty)
     }
@@ -19,7 +19,7 @@
         to: &PoolName,
     ) -> Result<(), FleetRefusal> {
         self.check_move(name, to)?;
-        // An operator's move of a lent instance settles where it belongs.
+        // An operator's move of a lent instance ends its loan.
         self.loans.remove(name);
         self.drain_to(at_unix_ms, name, to, "move");
         Ok(())
@@ -57,12 +57,12 @@
         }
         self.pool(&to)?;
         let from = instance.pool.clone();
-        self.serve(at_unix_ms, name, &to, &format!("moved from {from} to {to}"));
+        self.return_to_service(at_unix_ms, name, &to, &format!("moved from {from} to {to}"));
         if self.loans.get(name) == Some(&to) {
             self.loans.remove(name);
         }
         self.move_in_waves(name, &from, &to);
-        self.review_waves(at_unix_ms);
+        self.update_wave_states(at_unix_ms);
         Ok(())
     }
 
@@ -80,7 +80,7 @@
         if self.loans.get(name) == Some(&pool) {
             self.loans.remove(name);
         }
-        self.serve(at_unix_ms, name, &pool, &format!("move undone: {reason}"));
+        self.return_to_service(at_unix_ms, name, &pool, &format!("move undone: {reason}"));
         Ok(())
     }
 
@@ -107,7 +107,7 @@
     }
 }
 
-/// The pool a duty moves its instance to.
+/// The target pool of a move, if the duty is one.
 pub(super) fn move_target(duty: &Duty) -> Option<&PoolName> {
     match duty {
         Duty::Draining {
--- a/src/maintenance/fleet/waves.rs
+++ b/src/maintenance/fleet/waves.rs
@@ -1,5 +1,5 @@
-//! Maintenance waves: which instances they still have to visit, which they have
-//! out of service, and whether a broken budget holds them up.
+//! Maintenance waves: their pending instances, the instances they have out of
+//! service, and pauses because of a broken budget.
 
 use std::collections::BTreeMap;
 
@@ -9,12 +9,12 @@
 use super::absences::wrong_duty;
 use super::{Fleet, FleetRefusal, Wave};
 
-/// Waves kept after their end, for `explain`.
-const ENDED_MAX: usize = 32;
+/// Most ended waves kept for `explain`.
+const MAX_ENDED_WAVES: usize = 32;
 
-/// Times the turn of an instance is put off before the wave leaves it out: a
-/// drain that fails three times, minutes apart, holds work that does not end.
-const PUT_OFF_MAX: u32 = 3;
+/// Number of times that the visit of an instance is put off before the wave skips
+/// it: after three failed drains, minutes apart, its work is unlikely to end.
+const MAX_PUT_OFFS: u32 = 3;
 
 impl Fleet {
     pub(super) fn start_wave(
@@ -23,18 +23,18 @@
         spec: &WaveSpec,
     ) -> Result<(), FleetRefusal> {
         if self.waves.contains_key(&spec.name) {
-            return Err(refuse(&spec.name, "that name was used before"));
+            return Err(wave_refusal(&spec.name, "that name was used before"));
         }
         let mut wave = self.new_wave(at_unix_ms, spec);
         if wave.pending.is_empty() {
-            return Err(refuse(&spec.name, "no instance is selected"));
+            return Err(wave_refusal(&spec.name, "no instance is selected"));
         }
         let (kind, chosen, count) = (spec.kind, &spec.selection, wave.pending_len());
         let text = format!("started: {kind} {chosen}, {count} instances");
         wave.trail.note(at_unix_ms, text);
         self.waves.insert(spec.name.clone(), wave);
-        self.forget_waves();
-        self.review_waves(at_unix_ms);
+        self.prune_ended_waves();
+        self.update_wave_states(at_unix_ms);
         Ok(())
     }
 
@@ -62,7 +62,7 @@
                 } => {
                     wave.left_out.insert(instance.name.clone(), reason.clone());
                 }
-                _ => wave.put(&instance.pool, &instance.name),
+                _ => wave.add_pending(&instance.pool, &instance.name),
             }
         }
         wave
@@ -80,7 +80,7 @@
         wave.trail.note(at_unix_ms, "stopped by an operator");
         let out: Vec<InstanceName> = wave.out.keys().cloned().collect();
         for name in out {
-            self.serve_again(at_unix_ms, &name, "its wave was stopped");
+            self.cancel_drain(at_unix_ms, &name, "its wave was stopped");
         }
         Ok(())
     }
@@ -97,19 +97,19 @@
         let found = self.waves.get(wave);
         let found = found.ok_or_else(|| FleetRefusal::UnknownWave(wave.clone()))?;
         if found.state != WaveState::Running {
-            return Err(refuse(wave, &found.state.to_string()));
+            return Err(wave_refusal(wave, &found.state.to_string()));
         }
-        let held = found
+        let is_pending = found
             .pending
             .get(&pool)
             .is_some_and(|set| set.contains(name));
-        if !held {
-            return Err(refuse(wave, "the instance's turn is not to come"));
+        if !is_pending {
+            return Err(wave_refusal(wave, "the instance's turn is not to come"));
         }
         self.check_absence(instance)?;
         let absence = found.absence();
         if let Some(found) = self.waves.get_mut(wave) {
-            found.take(&pool, name);
+            found.remove_pending(&pool, name);
             found.out.insert(name.clone(), at_unix_ms);
         }
         let note = format!("drains for wave {wave}");
@@ -138,23 +138,23 @@
             wave.out.remove(name);
             let times = wave.put_off.entry(name.clone()).or_default();
             *times += 1;
-            if *times >= PUT_OFF_MAX {
+            if *times >= MAX_PUT_OFFS {
                 let text = format!("put off {times} times: {reason}");
                 wave.trail
                     .note(at_unix_ms, format!("leaves out {name}, {text}"));
                 wave.left_out.insert(name.clone(), text);
             } else if wave.is_active() {
-                wave.put(&pool, name);
+                wave.add_pending(&pool, name);
             }
         }
-        self.serve(at_unix_ms, name, &pool, &format!("put off: {reason}"));
-        self.review_waves(at_unix_ms);
+        self.return_to_service(at_unix_ms, name, &pool, &format!("put off: {reason}"));
+        self.update_wave_states(at_unix_ms);
         Ok(())
     }
 
-    /// An instance came back: from the wave's own absence, or from a repair
-    /// that did what a reboot wave was still to do.
-    pub(super) fn returned_in_waves(
+    /// Records that an instance returned, either from the wave's own absence or from a
+    /// repair, which replaces the visit of a pending reboot wave.
+    pub(super) fn record_return_in_waves(
         &mut self,
         at_unix_ms: u64,
         name: &InstanceName,
@@ -162,17 +162,17 @@
         absence: &Absence,
     ) {
         for wave in self.waves.values_mut() {
-            wave.came_back(pool, name, at_unix_ms);
+            wave.record_return(pool, name, at_unix_ms);
             let restarted = *absence == Absence::Repair;
-            let wanted = matches!(wave.absence(), Absence::Reboot { .. });
-            if restarted && wanted && wave.is_active() && wave.take(pool, name) {
+            let is_reboot_wave = matches!(wave.absence(), Absence::Reboot { .. });
+            if restarted && is_reboot_wave && wave.is_active() && wave.remove_pending(pool, name) {
                 wave.done += 1;
             }
         }
-        self.review_waves(at_unix_ms);
+        self.update_wave_states(at_unix_ms);
     }
 
-    /// An instance is out of reach for good: the waves go on without it.
+    /// Removes an instance that waves can no longer visit; they continue without it.
     pub(super) fn drop_from_waves(
         &mut self,
         at_unix_ms: u64,
@@ -181,35 +181,39 @@
         reason: &str,
     ) {
         for wave in self.waves.values_mut() {
-            let held = wave.out.remove(name).is_some() | wave.take(pool, name);
-            if held {
+            let was_listed = wave.out.remove(name).is_some() | wave.remove_pending(pool, name);
+            if was_listed {
                 wave.left_out.insert(name.clone(), reason.to_owned());
                 wave.trail
                     .note(at_unix_ms, format!("leaves out {name}: {reason}"));
             }
         }
-        self.review_waves(at_unix_ms);
+        self.update_wave_states(at_unix_ms);
     }
 
-    /// A pending instance changed pool: it counts against its new pool.
+    /// Moves a pending instance to its new pool.
     pub(super) fn move_in_waves(&mut self, name: &InstanceName, from: &PoolName, to: &PoolName) {
         for wave in self.waves.values_mut() {
-            if wave.take(from, name) {
-                wave.put(to, name);
+            if wave.remove_pending(from, name) {
+                wave.add_pending(to, name);
             }
         }
     }
 
-    /// Pauses waves that still have to visit a pool whose budget is broken: its
-    /// failures may be the wave's own doing. They resume when it is whole.
-    pub(super) fn review_waves(&mut self, at_unix_ms: u64) {
+    /// Pauses waves that still have to visit a pool whose budget is broken, because
+    /// the wave itself may have caused the failures; resumes them once the budget
+    /// holds; and ends waves that have nothing left to do.
+    pub(super) fn update_wave_states(&mut self, at_unix_ms: u64) {
         let names: Vec<WaveName> = self.active_waves().cloned().collect();
         for name in names {
-            let hold_up = self.waves.get(&name).and_then(|wave| self.hold_up(wave));
+            let paused = self
+                .waves
+                .get(&name)
+                .and_then(|wave| self.paused_state(wave));
             let Some(wave) = self.waves.get_mut(&name) else {
                 continue;
             };
-            let next = next_state(wave, hold_up);
+            let next = next_state(wave, paused);
             if next == wave.state {
                 continue;
             }
@@ -226,21 +230,23 @@
         self.waves.iter().filter(active).map(|(name, _)| name)
     }
 
-    /// What holds a wave up, told once for each pool: the arithmetic of a broken
-    /// pool changes with each failure in it.
-    fn hold_up(&self, wave: &Wave) -> Option<WaveState> {
-        let holds = |pool: &PoolName| self.broken.contains(pool) && wave.pending.contains_key(pool);
+    /// Returns the paused state of a wave if a pending pool's budget is broken. A wave
+    /// that is paused already for such a pool keeps its reason, since the budget use
+    /// changes with each failure.
+    fn paused_state(&self, wave: &Wave) -> Option<WaveState> {
+        let is_blocked_by =
+            |pool: &PoolName| self.broken.contains(pool) && wave.pending.contains_key(pool);
         if let WaveState::Paused { pool, .. } = &wave.state
-            && holds(pool)
+            && is_blocked_by(pool)
         {
             return Some(wave.state.clone());
         }
-        let pool = self.broken.iter().find(|pool| holds(pool))?.clone();
+        let pool = self.broken.iter().find(|pool| is_blocked_by(pool))?.clone();
         let why = self.budget_use(&pool)?.to_string();
         Some(WaveState::Paused { pool, why })
     }
 
-    fn serve_again(&mut self, at_unix_ms: u64, name: &InstanceName, note: &str) {
+    fn cancel_drain(&mut self, at_unix_ms: u64, name: &InstanceName, note: &str) {
         let Some(instance) = self.instances.get(name) else {
             return;
         };
@@ -251,7 +257,7 @@
         for wave in self.waves.values_mut() {
             wave.out.remove(name);
         }
-        self.serve(at_unix_ms, name, &pool, note);
+        self.return_to_service(at_unix_ms, name, &pool, note);
     }
 
     fn active_wave(&mut self, name: &WaveName) -> Result<&mut Wave, FleetRefusal> {
@@ -260,14 +266,14 @@
         if found.is_active() {
             Ok(found)
         } else {
-            Err(refuse(name, &found.state.to_string()))
+            Err(wave_refusal(name, &found.state.to_string()))
         }
     }
 
-    fn forget_waves(&mut self) {
+    fn prune_ended_waves(&mut self) {
         let ended = |wave: &&Wave| !wave.is_active() && wave.out.is_empty();
         let count = self.waves.values().filter(ended).count();
-        if count <= ENDED_MAX {
+        if count <= MAX_ENDED_WAVES {
             return;
         }
         let oldest = self.waves.values().filter(ended);
@@ -279,8 +285,8 @@
     }
 }
 
-fn next_state(wave: &Wave, hold_up: Option<WaveState>) -> WaveState {
-    match hold_up {
+fn next_state(wave: &Wave, paused: Option<WaveState>) -> WaveState {
+    match paused {
         Some(paused) => paused,
         None if wave.pending.is_empty() && wave.out.is_empty() => WaveState::Done,
         None => WaveState::Running,
@@ -294,7 +300,7 @@
     }
 }
 
-fn refuse(wave: &WaveName, why: &str) -> FleetRefusal {
+fn wave_refusal(wave: &WaveName, why: &str) -> FleetRefusal {
     FleetRefusal::Wave {
         wave: wave.clone(),
         why: why.to_owned(),
--- a/src/maintenance/mod.rs
+++ b/src/maintenance/mod.rs
@@ -1,10 +1,10 @@
 //! Pools, availability budgets, moves, maintenance waves and repair.
 //!
 //! [`Fleet`] is replicated: it changes only by applying a [`FleetCommand`], in
-//! the same order on every process. Every voluntary absence is checked there, so
-//! that two operators, or an old and a new leader, cannot both spend the same
-//! spare instance. The leader's controller reads the fleet beside what the
-//! upstreams report and proposes the next commands.
+//! the same order on every process. It checks every voluntary absence, so that
+//! two operators, or an old and a new leader, cannot both use the same spare
+//! instance. The leader's [`Controller`] compares the fleet with the reports of
+//! the upstreams and proposes the next commands.
 
 pub mod bounds;
 mod budget_use;
--- a/src/maintenance/observed.rs
+++ b/src/maintenance/observed.rs
@@ -2,17 +2,17 @@
 
 use crate::model::{EntryName, InstanceName, UpstreamReport};
 
-/// What the leader has heard, beside the replicated fleet.
+/// Reports and acknowledgements received by the leader; not replicated.
 #[derive(Clone, Debug, Default)]
 pub struct Observed {
     /// Unix time, in milliseconds; compared only with times in the fleet.
     pub unix_ms: u64,
-    /// The index up to which the fleet handed in is applied.
+    /// Log index up to which the fleet passed along with this value is applied.
     pub applied_index: u64,
-    /// The last report of each instance that was heard.
+    /// The last report of each instance that has sent one.
     pub instances: BTreeMap<InstanceName, InstanceSeen>,
-    /// Every entry instance of the membership, one never heard included: a move
-    /// waits for all of them.
+    /// Every entry instance of the membership, even without any acknowledgement: a
+    /// move waits for all of them.
     pub entries: BTreeMap<EntryName, EntryAck>,
 }
 
@@ -20,20 +20,20 @@
 /// incarnation.
 #[derive(Clone, Debug)]
 pub struct InstanceSeen {
-    /// What it said.
+    /// The report.
     pub report: UpstreamReport,
-    /// When it was heard, on the clock of `now_ms`.
+    /// When the report arrived, on the monotonic clock of `now_ms`.
     pub heard_ms: u64,
-    /// Whether the dispatchers found that it fails what it is given.
+    /// Whether the dispatchers found that the instance fails its requests.
     pub sick: bool,
 }
 
-/// What an entry instance last acknowledged.
+/// The last acknowledgement of an entry instance.
 #[derive(Clone, Debug, Default)]
 pub struct EntryAck {
-    /// The index up to which its dispatcher had applied the state.
+    /// Log index up to which its dispatcher had applied the state.
     pub applied_index: u64,
-    /// What it had in flight then; an instance left out had none.
+    /// Its requests in flight at that time by instance; zero for instances not listed.
     pub in_flight: BTreeMap<InstanceName, u32>,
 }
 
--- a/src/maintenance/plan.rs
+++ b/src/maintenance/plan.rs
@@ -2,37 +2,38 @@
 
 use crate::model::{InstanceName, PoolName, WaveName};
 
-/// What a wave will do as long as nothing fails.
+/// The schedule of a wave as long as nothing fails.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// The wave.
     pub wave: WaveName,
-    /// What is done, in order of its start.
+    /// Visits and loans, in order of their start.
     pub steps: Vec<Step>,
-    /// What it is expected to take.
+    /// Expected costs.
     pub expected: Figures,
-    /// What no plan can beat.
+    /// Lower bounds on the costs of any plan.
     pub bound: Figures,
     /// Expected time if every visit takes its longest, in milliseconds.
     pub latest_ms: u64,
-    /// Pools that cannot be finished, each with its arithmetic.
+    /// Pools that cannot be finished, each described with its budget use.
     pub stuck: Vec<String>,
 }
 
-/// What a wave costs.
+/// Costs of a wave.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
     /// From the start to the last return, in milliseconds.
     pub rollout_ms: u64,
-    /// Moves of instances, those back home included.
+    /// Number of moves, returns to the own pool included.
     pub moves: u32,
-    /// Instances kept from their own pool, times how long, in milliseconds.
+    /// Time that instances are unavailable to their own pool, summed over the
+    /// instances, in milliseconds.
     pub buffer_instance_ms: u64,
-    /// Instances kept from their own pool at once.
+    /// Most instances unavailable to their own pool at the same time.
     pub buffer_peak: u32,
 }
 
-/// One thing a plan does.
+/// One visit or loan of a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
     /// When it starts, in milliseconds from the wave's start.
@@ -41,19 +42,19 @@
     pub end_ms: u64,
     /// The instance.
     pub instance: InstanceName,
-    /// The pool it is in.
+    /// The pool it is in when the step starts.
     pub pool: PoolName,
-    /// What is done.
+    /// The kind of step.
     pub work: Work,
 }
 
-/// What is done to an instance.
+/// What a step does to its instance.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Work {
     /// It is rebooted or replaced.
     #[display("visit")]
     Visit,
-    /// It moves to another pool for a while.
+    /// It moves to another pool temporarily.
     #[display("lend to {_0}")]
     Lend(PoolName),
 }
@@ -99,7 +100,7 @@
     }
 }
 
-/// Milliseconds shown as minutes.
+/// A time in milliseconds, displayed in minutes with one decimal.
 struct Minutes(u64);
 
 impl fmt::Display for Minutes {
--- a/src/maintenance/planner.rs
+++ b/src/maintenance/planner.rs
@@ -1,9 +1,9 @@
-//! Plays a wave forward as the controller would run it, without failures.
+//! Simulates a wave as the controller would run it, without failures.
 //!
-//! Every pool takes instances out as soon as its budget has room; when a pool is
-//! through, what it can do without may be lent to the pool that is last, if that
-//! is worth the moves. Costs a scan of a pool's racks per visit where its budget
-//! survives a rack, and a logarithm otherwise.
+//! Every pool takes instances out as soon as its budget has room. A pool may lend its
+//! spare instances to the pool that finishes last, if that is worth the moves. Each
+//! visit costs a scan of the pool's racks if its budget survives a rack, and
+//! logarithmic time otherwise.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -11,11 +11,11 @@
 use crate::model::{Budget, Instance, InstanceName, PoolName};
 
 use super::bounds::{PoolVisits, Visit, moves_bound, rollout_bound_ms};
-use super::pace::{Loan, PoolPace, next_loan, next_visit, no_spare};
+use super::pace::{Loan, PoolProgress, exclude_donor, next_loan, next_visit};
 use super::plan::{Figures, Plan, Step, Work};
 use super::{Cause, Fleet, Room, WaveSpec};
 
-/// The plan of a wave on the fleet as it is.
+/// Plans a wave on the current state of the fleet.
 pub fn plan(fleet: &Fleet, spec: &WaveSpec) -> Plan {
     let mut planner = Planner::new(fleet, spec);
     let bounds = planner.visits();
@@ -28,23 +28,24 @@
     spec: &'a WaveSpec,
     pools: BTreeMap<&'a PoolName, PoolState<'a>>,
     events: BinaryHeap<Reverse<(u64, usize)>>,
-    /// Pools in which something changed since they were last filled.
+    /// Pools that changed since visits were last started in them.
     dirty: BTreeSet<&'a PoolName>,
     steps: Vec<Step>,
     away: u32,
-    peak: u32,
+    away_peak: u32,
     now_ms: u64,
     rollout_ms: u64,
-    lent: Vec<u64>,
+    loan_starts_ms: Vec<u64>,
 }
 
 struct PoolState<'a> {
     budget: Budget,
     room: Room,
     pending: BTreeSet<&'a InstanceName>,
-    /// Instances that serve and were visited or need no visit.
+    /// Serving instances that were visited or need no visit.
     idle: BTreeSet<&'a InstanceName>,
-    /// When those that are out or on their way in are expected.
+    /// When the instances that are out or moving in are expected, in milliseconds from
+    /// the wave's start.
     expected_ms: Vec<u64>,
 }
 
@@ -58,10 +59,10 @@
             dirty: BTreeSet::new(),
             steps: Vec::new(),
             away: 0,
-            peak: 0,
+            away_peak: 0,
             now_ms: 0,
             rollout_ms: 0,
-            lent: Vec::new(),
+            loan_starts_ms: Vec::new(),
         };
         for (name, pool) in fleet.pools() {
             planner.pools.insert(
@@ -80,12 +81,12 @@
             planner.dirty.insert(name);
         }
         for instance in fleet.instances().values() {
-            planner.admit(instance);
+            planner.add_instance(instance);
         }
         planner
     }
 
-    fn admit(&mut self, instance: &'a Instance) {
+    fn add_instance(&mut self, instance: &'a Instance) {
         let failed = self.fleet.is_failed(&instance.name);
         let Some(pool) = self.pools.get_mut(&instance.pool) else {
             return;
@@ -120,13 +121,13 @@
         self.pools.values().map(visits).collect()
     }
 
-    /// Takes all that ends at one time together, so that a slot which is free
-    /// may be lent before its own pool fills it again.
+    /// Runs the simulation. Steps that end at the same time are handled together, so
+    /// that a free slot may be lent before its own pool uses it again.
     fn run(&mut self) {
         loop {
-            while self.lend() {}
+            while self.start_next_loan() {}
             while let Some(name) = self.dirty.pop_first() {
-                self.fill(name);
+                self.start_visits(name);
             }
             let Some(Reverse((at_ms, _))) = self.events.peek() else {
                 return;
@@ -147,7 +148,7 @@
         Some(step)
     }
 
-    fn fill(&mut self, name: &'a PoolName) {
+    fn start_visits(&mut self, name: &'a PoolName) {
         loop {
             let fleet = self.fleet;
             let Some(pool) = self.pools.get_mut(name) else {
@@ -161,7 +162,7 @@
                 return;
             };
             pool.pending.remove(&next.name);
-            pool.room.remove(&next.rack);
+            pool.room.remove_serving(&next.rack);
             pool.expected_ms.push(self.now_ms + self.spec.visit_ms());
             self.start(next, name, Work::Visit, self.spec.visit_ms());
         }
@@ -178,7 +179,7 @@
             work,
         });
         self.away += 1;
-        self.peak = self.peak.max(self.away);
+        self.away_peak = self.away_peak.max(self.away);
     }
 
     fn end_step(&mut self, index: usize) {
@@ -200,9 +201,9 @@
         let visit = step.work == Work::Visit;
         if let Some(state) = self.pools.get_mut(pool) {
             if !visit {
-                state.room.join(&instance.rack);
+                state.room.add_member(&instance.rack);
             }
-            state.room.add(&instance.rack);
+            state.room.add_serving(&instance.rack);
             state.idle.insert(&instance.name);
             let expected = state.expected_ms.iter().position(|ms| *ms == step.end_ms);
             if let Some(expected) = expected {
@@ -216,34 +217,34 @@
         self.dirty.insert(name);
     }
 
-    /// Makes the next loan that is worth its cost.
-    fn lend(&mut self) -> bool {
+    /// Starts the next loan that is worth its cost and returns whether there was one.
+    fn start_next_loan(&mut self) -> bool {
         let visit_ms = self.spec.visit_ms();
         let pools = self.pools.iter();
-        let paces = pools.map(|(name, pool)| pool.pace(name, self.now_ms, visit_ms));
-        let mut paces: Vec<PoolPace> = paces.collect();
+        let progress = pools.map(|(name, pool)| pool.progress(name, self.now_ms, visit_ms));
+        let mut progress: Vec<PoolProgress> = progress.collect();
         let WaveSpec {
             weights,
             drain_ms,
             spread_percent,
             ..
         } = self.spec;
-        while let Some(loan) = next_loan(&paces, weights, *drain_ms, *spread_percent) {
-            if let Some(next) = self.choose(&loan) {
+        while let Some(loan) = next_loan(&progress, weights, *drain_ms, *spread_percent) {
+            if let Some(next) = self.choose_instance(&loan) {
                 self.start_loan(next, loan);
                 return true;
             }
-            no_spare(&mut paces, &loan.from);
+            exclude_donor(&mut progress, &loan.from);
         }
         false
     }
 
-    /// The donor's instance that gives the borrower room.
-    fn choose(&self, loan: &Loan) -> Option<&'a Instance> {
+    /// Chooses an instance that the donor can spare and that gives the borrower room.
+    fn choose_instance(&self, loan: &Loan) -> Option<&'a Instance> {
         let (donor, borrower) = (self.pools.get(&loan.from)?, self.pools.get(&loan.to)?);
         let fleet = self.fleet;
         let idle = donor.idle.iter().filter_map(|i| fleet.instances().get(*i));
-        let idle = idle.filter(|i| borrower.room.gains_by(&i.rack, &borrower.budget));
+        let idle = idle.filter(|i| borrower.room.gains_room_from(&i.rack, &borrower.budget));
         next_visit(&donor.room, &donor.budget, idle)
     }
 
@@ -251,13 +252,13 @@
         let drain_ms = self.spec.drain_ms;
         if let Some(donor) = self.pools.get_mut(&loan.from) {
             donor.idle.remove(&next.name);
-            donor.room.remove(&next.rack);
-            donor.room.leave(&next.rack);
+            donor.room.remove_serving(&next.rack);
+            donor.room.remove_member(&next.rack);
         }
         if let Some(borrower) = self.pools.get_mut(&loan.to) {
             borrower.expected_ms.push(self.now_ms + drain_ms);
         }
-        self.lent.push(self.now_ms);
+        self.loan_starts_ms.push(self.now_ms);
         self.start(next, &loan.from, Work::Lend(loan.to), drain_ms);
     }
 
@@ -270,11 +271,11 @@
         let done = self.steps.iter().filter(|s| s.work == Work::Visit).count();
         let done_ms = u64::try_from(done).unwrap_or(u64::MAX) * self.spec.visit_ms();
         let lent_ms: u64 = self
-            .lent
+            .loan_starts_ms
             .iter()
             .map(|at| self.rollout_ms.saturating_sub(*at))
             .sum();
-        let moves = 2 * u32::try_from(self.lent.len()).unwrap_or(u32::MAX);
+        let moves = 2 * u32::try_from(self.loan_starts_ms.len()).unwrap_or(u32::MAX);
         let bound_ms = rollout_bound_ms(visits, moves / 2).unwrap_or(0);
         let at_once = work_ms.div_ceil(self.rollout_ms.max(1));
         Plan {
@@ -284,7 +285,7 @@
                 rollout_ms: self.rollout_ms,
                 moves,
                 buffer_instance_ms: done_ms + lent_ms,
-                buffer_peak: self.peak,
+                buffer_peak: self.away_peak,
             },
             bound: Figures {
                 rollout_ms: bound_ms,
@@ -311,13 +312,13 @@
 }
 
 impl PoolState<'_> {
-    fn pace(&self, name: &PoolName, now_ms: u64, visit_ms: u64) -> PoolPace {
+    fn progress(&self, name: &PoolName, now_ms: u64, visit_ms: u64) -> PoolProgress {
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         let more = self.room.width_bound(&self.budget);
         let expected = self.expected_ms.iter();
         let mut slots_ms: Vec<u64> = expected.map(|ms| ms - now_ms).collect();
         slots_ms.extend((0..more).map(|_| 0));
-        PoolPace {
+        PoolProgress {
             pool: name.clone(),
             pending: count(self.pending.len()),
             slots_ms,
--- a/src/maintenance/refusal.rs
+++ b/src/maintenance/refusal.rs
@@ -4,7 +4,7 @@
 
 use super::BudgetUse;
 
-/// Why a change of the fleet was refused; nothing was changed.
+/// Reason for refusing a command; the fleet is unchanged.
 #[derive(
     Clone, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display, derive_more::Error,
 )]
@@ -18,10 +18,10 @@
     /// No such wave.
     #[display("wave {_0} does not exist")]
     UnknownWave(#[error(not(source))] WaveName),
-    /// The pool's budget would be broken; the use is the one after the change.
+    /// The change would break the pool's budget.
     #[display("{after}")]
     Budget {
-        /// The arithmetic as it would be after the change.
+        /// The budget use after the change.
         after: BudgetUse,
     },
     /// Another pool carries the service.
@@ -37,40 +37,40 @@
     PoolInUse {
         /// The pool.
         pool: PoolName,
-        /// Its instances.
+        /// Number of its instances.
         members: u32,
     },
-    /// The instance is not in the state that the change needs.
+    /// The instance's current duty does not allow the change.
     #[display("instance {instance} is {duty}: {remedy}")]
     WrongDuty {
         /// The instance.
         instance: InstanceName,
-        /// What it is doing.
+        /// Its current duty, as text.
         duty: String,
-        /// What to do.
+        /// What to do about it.
         remedy: String,
     },
-    /// The change was meant for another epoch of the instance.
+    /// The change names another epoch than the instance's current one.
     #[display("instance {instance} is under epoch {present}, not {given}")]
     Epoch {
         /// The instance.
         instance: InstanceName,
-        /// Its epoch.
+        /// Its current epoch.
         present: u64,
-        /// The epoch of the change.
+        /// The epoch named by the change.
         given: u64,
     },
-    /// The instance that came back is the one that left.
+    /// The instance reported the same incarnation as before it left, or an older one.
     #[display("instance {instance} has not restarted: incarnation {given} left as {left}")]
     NotRestarted {
         /// The instance.
         instance: InstanceName,
         /// The incarnation that left.
         left: u64,
-        /// The incarnation of the change.
+        /// The incarnation named by the change.
         given: u64,
     },
-    /// It is in that pool already.
+    /// The instance is in that pool already.
     #[display("instance {instance} is in pool {pool} already")]
     SamePool {
         /// The instance.
@@ -78,12 +78,12 @@
         /// The pool.
         pool: PoolName,
     },
-    /// The wave is paused, over, or does not hold the instance.
+    /// The wave is paused or has ended, or the instance is not pending in it.
     #[display("wave {wave}: {why}")]
     Wave {
         /// The wave.
         wave: WaveName,
-        /// Why, in words.
+        /// The reason, as text.
         why: String,
     },
 }
--- a/src/maintenance/room.rs
+++ b/src/maintenance/room.rs
@@ -4,28 +4,28 @@
 
 use crate::model::{Budget, RackName, Survive};
 
-/// How many instances of a pool serve, by rack.
+/// Serving instances of a pool by rack, from which its room for absences follows.
 ///
-/// Each question costs a logarithm at most, so that a change in a fleet of
-/// 21,000 instances does not recount a pool.
+/// Counts are updated incrementally, so that a change in a fleet of 21,000
+/// instances does not recount a pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Room {
     serving: u32,
     by_rack: BTreeMap<RackName, u32>,
     racks_by_size: BTreeMap<u32, u32>,
-    /// Members by rack that serve or are expected back.
+    /// Instances by rack that serve or are expected to serve again.
     members: BTreeMap<RackName, u32>,
 }
 
 impl Room {
-    /// One more instance of `rack` serves or is expected to.
-    pub fn join(&mut self, rack: &RackName) {
+    /// Adds an instance of `rack` that serves or is expected to serve again.
+    pub fn add_member(&mut self, rack: &RackName) {
         *self.members.entry(rack.clone()).or_default() += 1;
     }
 
-    /// One instance of `rack` is not expected to serve any more.
-    pub fn leave(&mut self, rack: &RackName) {
-        let members = self.members(rack);
+    /// Removes an instance of `rack` that is not expected to serve again.
+    pub fn remove_member(&mut self, rack: &RackName) {
+        let members = self.members_in(rack);
         if members > 1 {
             self.members.insert(rack.clone(), members - 1);
         } else {
@@ -33,57 +33,57 @@
         }
     }
 
-    /// Instances of `rack` that serve or are expected to.
-    pub fn members(&self, rack: &RackName) -> u32 {
+    /// Number of instances of `rack` that serve or are expected to serve again.
+    pub fn members_in(&self, rack: &RackName) -> u32 {
         self.members.get(rack).copied().unwrap_or(0)
     }
 
-    /// Whether one more instance of `rack` would give the budget more room: under
-    /// a budget that survives a rack, one in the largest rack gives none.
-    pub fn gains_by(&self, rack: &RackName, budget: &Budget) -> bool {
+    /// Whether one more instance of `rack` would leave more room under the budget.
+    /// Under a budget that survives a rack, one in the largest rack leaves no more.
+    pub fn gains_room_from(&self, rack: &RackName, budget: &Budget) -> bool {
         let largest = self.members.values().max().copied().unwrap_or(0);
-        budget.survive != Survive::Rack || self.members(rack) < largest
+        budget.survive != Survive::Rack || self.members_in(rack) < largest
     }
 
-    /// One more instance of `rack` serves.
-    pub fn add(&mut self, rack: &RackName) {
-        let size = self.rack(rack);
+    /// Adds a serving instance of `rack`.
+    pub fn add_serving(&mut self, rack: &RackName) {
+        let size = self.serving_in(rack);
         self.resize(rack, size, size + 1);
         self.serving += 1;
     }
 
-    /// One instance of `rack` serves no more; nothing if none did.
-    pub fn remove(&mut self, rack: &RackName) {
-        let size = self.rack(rack);
+    /// Removes a serving instance of `rack`; does nothing if none serves.
+    pub fn remove_serving(&mut self, rack: &RackName) {
+        let size = self.serving_in(rack);
         if size > 0 {
             self.resize(rack, size, size - 1);
             self.serving -= 1;
         }
     }
 
-    /// Instances that serve.
+    /// Number of instances that serve.
     pub fn serving(&self) -> u32 {
         self.serving
     }
 
-    /// Racks with an instance that serves.
-    pub fn racks(&self) -> u32 {
+    /// Number of racks with an instance that serves.
+    pub fn serving_racks(&self) -> u32 {
         u32::try_from(self.by_rack.len()).unwrap_or(u32::MAX)
     }
 
-    /// Instances that serve in `rack`.
-    pub fn rack(&self, rack: &RackName) -> u32 {
+    /// Number of instances that serve in `rack`.
+    pub fn serving_in(&self, rack: &RackName) -> u32 {
         self.by_rack.get(rack).copied().unwrap_or(0)
     }
 
-    /// The racks with the most instances that serve, and how many.
-    pub fn worst_racks(&self) -> (u32, impl Iterator<Item = &RackName>) {
+    /// The number of serving instances in the largest racks, and those racks.
+    pub fn largest_racks(&self) -> (u32, impl Iterator<Item = &RackName>) {
         let worst = self.worst_loss(Survive::Rack);
         let racks = self.by_rack.iter().filter(move |(_, size)| **size == worst);
         (worst, racks.map(|(rack, _)| rack))
     }
 
-    /// Instances lost with the worst failure domain still to come.
+    /// Most instances lost with one failure domain.
     pub fn worst_loss(&self, survive: Survive) -> u32 {
         match survive {
             Survive::None => 0,
@@ -92,26 +92,26 @@
         }
     }
 
-    /// Whether the budget holds, the worst loss still to come included.
+    /// Whether the budget holds even after the worst loss.
     pub fn holds(&self, budget: &Budget) -> bool {
         self.serving - self.worst_loss(budget.survive) >= budget.min_available
     }
 
-    /// Whether the budget would hold without one instance of `rack`.
+    /// Whether the budget would hold without one serving instance of `rack`.
     pub fn holds_without(&self, rack: &RackName, budget: &Budget) -> bool {
         let serving = self.serving.saturating_sub(1);
         let worst = match budget.survive {
             Survive::None => 0,
             Survive::Instance => serving.min(1),
-            Survive::Rack => self.worst_rack_without(rack),
+            Survive::Rack => self.largest_rack_without(rack),
         };
         serving - worst >= budget.min_available
     }
 
-    /// Instances that could be absent at once, at most: an upper bound, met
-    /// when the racks are of one size.
+    /// Upper bound on the number of further instances that could be absent at the same
+    /// time; exact when the racks are of equal size.
     pub fn width_bound(&self, budget: &Budget) -> u32 {
-        let racks = self.racks().max(1);
+        let racks = self.serving_racks().max(1);
         let fits = |left: u32| {
             let worst = match budget.survive {
                 Survive::None => 0,
@@ -124,10 +124,10 @@
         least.map_or(0, |left| self.serving - left)
     }
 
-    fn worst_rack_without(&self, rack: &RackName) -> u32 {
+    fn largest_rack_without(&self, rack: &RackName) -> u32 {
         let worst = self.worst_loss(Survive::Rack);
-        let alone = self.racks_by_size.get(&worst) == Some(&1);
-        if alone && self.rack(rack) == worst {
+        let is_only_largest = self.racks_by_size.get(&worst) == Some(&1);
+        if is_only_largest && self.serving_in(rack) == worst {
             worst.saturating_sub(1)
         } else {
             worst
--- a/src/maintenance/stop_proof.rs
+++ b/src/maintenance/stop_proof.rs
@@ -2,75 +2,76 @@
 
 use super::{ControllerSettings, InstanceSeen, Observed};
 
-/// Collects the proof that nothing dispatches to a draining instance any more.
+/// Proves that no entry instance dispatches to a draining instance any more.
 ///
-/// Without it a silent entry instance, dead or cut off, could go on sending the
-/// old pool's requests to an instance that serves the new pool already: two
-/// pools at once. There are two ways to the proof:
+/// Otherwise an entry instance that is down or partitioned could go on sending
+/// requests of the old pool to an instance that already serves the new pool.
+/// Either of two conditions is a proof:
 ///
-/// - every entry instance of the membership acknowledged the drain with nothing
-///   in flight to the instance. An entry that applied the drain does not
-///   dispatch to that epoch again, so an old acknowledgement stays good;
-/// - the upstream itself said `Draining` under the drain's epoch, kept saying so
-///   for a dispatch lease and the clock margin, and has nothing running. A
-///   silent entry dispatches only while it holds a report with `Serving` that is
-///   younger than the lease; the last of those was sent before the first
-///   `Draining`, so every such permission has run out.
+/// - Every entry instance of the membership acknowledged the drain with no request
+///   in flight to the instance. An entry that applied the drain does not dispatch
+///   to that epoch again, so an old acknowledgement stays valid.
+/// - The upstream itself reported `Draining` under the drain's epoch for a dispatch
+///   lease plus the clock margin, and runs nothing. A partitioned entry dispatches
+///   only while it holds a `Serving` report that is younger than the lease; the
+///   last of those was sent before the first `Draining`, so all such leases have
+///   expired.
 ///
-/// Assumes of clocks: two processes' monotonic clocks differ by less than the
-/// clock margin over one lease, and no report is on its way for longer than the
-/// margin. Wall clocks do not matter.
+/// This assumes that the monotonic clocks of two processes drift apart by less than
+/// the clock margin over one lease, and that no report is in transit for longer
+/// than the margin. Wall clocks do not matter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopProof {
     epoch: u64,
     drain_index: u64,
-    draining: Option<DrainingSeen>,
+    draining: Option<FirstDraining>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct DrainingSeen {
+struct FirstDraining {
     incarnation: u64,
     since_ms: u64,
 }
 
-/// Whether an instance has provably stopped.
+/// Result of checking whether an instance has provably stopped.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Verdict {
-    /// Every entry instance acknowledged with nothing in flight.
+    /// Every entry instance acknowledged the drain with nothing in flight.
     #[display("all entry instances acknowledged")]
     Acknowledged,
-    /// Every permission to dispatch has run out and nothing runs.
-    #[display("every permission to dispatch has run out")]
-    LeaseRanOut,
+    /// Every dispatch lease has expired and nothing runs.
+    #[display("every dispatch lease has expired")]
+    LeaseExpired,
     /// Some entry instances did not acknowledge the drain.
-    #[display("entry instance {} has not acknowledged the drain", list(_0))]
-    Silent(Vec<EntryName>),
+    #[display("entry instance {} has not acknowledged the drain", join_names(_0))]
+    Unacknowledged(Vec<EntryName>),
     /// An entry instance has requests in flight.
     #[display("entry instance {entry} has {count} requests in flight")]
     InFlight {
         /// The entry instance.
         entry: EntryName,
-        /// Its requests.
+        /// Number of its requests.
         count: u32,
     },
-    /// The instance is not heard: it may have died with its last report.
-    #[display("the instance was not heard for a lease")]
-    Unheard,
-    /// The upstream says that requests run.
+    /// No report within a dispatch lease: the instance may have failed right after
+    /// its last report.
+    #[display("the instance sent no report within a dispatch lease")]
+    NoRecentReport,
+    /// The upstream reports running requests.
     #[display("{_0} requests run on it")]
     Running(u32),
 }
 
 impl Verdict {
-    /// Whether it is a proof.
+    /// Whether the instance has provably stopped.
     pub fn is_stopped(&self) -> bool {
-        matches!(self, Self::Acknowledged | Self::LeaseRanOut)
+        matches!(self, Self::Acknowledged | Self::LeaseExpired)
     }
 }
 
 impl StopProof {
-    /// Starts for a drain under `epoch` that is in the state at `drain_index`.
-    /// An index later than the drain's own only asks for more.
+    /// Creates a proof for a drain under `epoch` that is applied at `drain_index`.
+    /// An index later than the drain's own is stricter, but safe.
     pub fn new(epoch: u64, drain_index: u64) -> Self {
         Self {
             epoch,
@@ -84,23 +85,23 @@
         self.epoch
     }
 
-    /// Takes in the instance's last report.
-    pub fn hear(&mut self, seen: &InstanceSeen) {
+    /// Records the instance's last report.
+    pub fn record_report(&mut self, seen: &InstanceSeen) {
         let report = &seen.report;
         if report.standing == Standing::Serving || report.pool_epoch != self.epoch {
             self.draining = None;
             return;
         }
-        let known = self.draining.map(|d| d.incarnation);
-        if known != Some(report.incarnation) {
-            self.draining = Some(DrainingSeen {
+        let recorded = self.draining.map(|d| d.incarnation);
+        if recorded != Some(report.incarnation) {
+            self.draining = Some(FirstDraining {
                 incarnation: report.incarnation,
                 since_ms: seen.heard_ms,
             });
         }
     }
 
-    /// Judges what was heard up to now.
+    /// Evaluates the reports and acknowledgements received so far.
     pub fn verdict(
         &self,
         now_ms: u64,
@@ -110,25 +111,25 @@
     ) -> Verdict {
         let seen = observed.instances.get(instance);
         let fresh = seen.filter(|s| s.is_fresh(now_ms, settings.dispatch_lease_ms));
-        // Without a recent report an instance that has just died would change
-        // pool before its failure shows.
+        // Without a recent report, an instance that has just failed would change
+        // pool before its failure is detected.
         let Some(fresh) = fresh else {
-            return Verdict::Unheard;
+            return Verdict::NoRecentReport;
         };
-        // An entry that restarted has nothing in flight, but what it sent
-        // before may still run: the upstream has the last word.
+        // An entry that restarted has nothing in flight, but requests that it sent
+        // before may still run: the count of the upstream takes precedence.
         if fresh.report.running > 0 {
             return Verdict::Running(fresh.report.running);
         }
-        if self.lease_ran_out(settings, fresh) {
-            return Verdict::LeaseRanOut;
+        if self.lease_expired(settings, fresh) {
+            return Verdict::LeaseExpired;
         }
         self.acknowledged(instance, observed)
     }
 
-    /// Looks at one report alone: it was heard a lease and the margin after the
-    /// first one with `Draining`, and its count was taken after that one.
-    fn lease_ran_out(&self, settings: &ControllerSettings, seen: &InstanceSeen) -> bool {
+    /// Whether one report alone is a proof: it arrived a lease plus the margin after
+    /// the first `Draining` report, and its count was taken after that one.
+    fn lease_expired(&self, settings: &ControllerSettings, seen: &InstanceSeen) -> bool {
         let Some(draining) = self.draining else {
             return false;
         };
@@ -139,14 +140,14 @@
 
     fn acknowledged(&self, instance: &InstanceName, observed: &Observed) -> Verdict {
         let behind = |ack: u64| ack < self.drain_index;
-        let silent: Vec<EntryName> = observed
+        let unacknowledged: Vec<EntryName> = observed
             .entries
             .iter()
             .filter(|(_, ack)| behind(ack.applied_index))
             .map(|(entry, _)| entry.clone())
             .collect();
-        if !silent.is_empty() || observed.entries.is_empty() {
-            return Verdict::Silent(silent);
+        if !unacknowledged.is_empty() || observed.entries.is_empty() {
+            return Verdict::Unacknowledged(unacknowledged);
         }
         for (entry, ack) in &observed.entries {
             let count = ack.in_flight.get(instance).copied().unwrap_or(0);
@@ -159,7 +160,7 @@
     }
 }
 
-fn list(entries: &[EntryName]) -> String {
+fn join_names(entries: &[EntryName]) -> String {
     let names: Vec<&str> = entries.iter().map(EntryName::as_str).collect();
     names.join(", ")
 }
--- a/src/maintenance/tally.rs
+++ b/src/maintenance/tally.rs
@@ -6,7 +6,7 @@
 
 use super::{BudgetUse, Cause, Room};
 
-/// What a pool's instances do, kept up to date with each change.
+/// Counts of a pool's instances by what they do, updated with each change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     members: BTreeSet<InstanceName>,
@@ -15,29 +15,29 @@
 }
 
 impl Tally {
-    /// Counts an instance in.
+    /// Adds an instance to the counts.
     pub fn add(&mut self, instance: &Instance, failed: bool) {
         self.members.insert(instance.name.clone());
         let cause = Cause::of(instance, failed);
-        // One that is set aside is not expected back in its rack.
+        // An instance that is set aside is not expected to serve again in its rack.
         if cause != Some(Cause::SetAside) {
-            self.room.join(&instance.rack);
+            self.room.add_member(&instance.rack);
         }
         match cause {
             Some(cause) => *self.absent.entry(cause).or_default() += 1,
-            None => self.room.add(&instance.rack),
+            None => self.room.add_serving(&instance.rack),
         }
     }
 
-    /// Counts an instance out, as it was counted in.
+    /// Removes an instance from the counts; it must be in the state it was added with.
     pub fn remove(&mut self, instance: &Instance, failed: bool) {
         self.members.remove(&instance.name);
         let cause = Cause::of(instance, failed);
         if cause != Some(Cause::SetAside) {
-            self.room.leave(&instance.rack);
+            self.room.remove_member(&instance.rack);
         }
         let Some(cause) = cause else {
-            self.room.remove(&instance.rack);
+            self.room.remove_serving(&instance.rack);
             return;
         };
         let count = self.absent.entry(cause).or_default();
@@ -52,12 +52,12 @@
         &self.members
     }
 
-    /// What serves, by rack.
+    /// The serving instances by rack.
     pub fn room(&self) -> &Room {
         &self.room
     }
 
-    /// The arithmetic against the pool's budget.
+    /// The use of the pool's budget.
     pub fn budget_use(&self, pool: &Pool) -> BudgetUse {
         BudgetUse {
             pool: pool.name.clone(),
--- a/src/maintenance/trail.rs
+++ b/src/maintenance/trail.rs
@@ -3,17 +3,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Decisions kept of one instance, pool or wave. Eight hold a failure, its
-/// repair and a wave's visit; at 21,000 instances they are about 15 MB.
-const NOTES_MAX: usize = 8;
+/// Decisions kept per instance, pool or wave. Eight cover a failure, its repair and
+/// a wave's visit, and take about 15 MB for 21,000 instances.
+const MAX_NOTES: usize = 8;
 
-/// The last decisions about one thing, oldest first.
+/// Audit trail: the last decisions about an instance, a pool or a wave.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trail {
     notes: VecDeque<Note>,
 }
 
-/// One decision: when, and what and why in words.
+/// One decision in a trail.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[display("{at_unix_ms} {text}")]
 pub struct Note {
@@ -24,9 +24,9 @@
 }
 
 impl Trail {
-    /// Adds a decision and forgets the oldest beyond the bound.
+    /// Adds a decision and drops the oldest one if the trail is full.
     pub fn note(&mut self, at_unix_ms: u64, text: impl Into<String>) {
-        if self.notes.len() == NOTES_MAX {
+        if self.notes.len() == MAX_NOTES {
             self.notes.pop_front();
         }
         let text = text.into();
--- a/src/maintenance/wave.rs
+++ b/src/maintenance/wave.rs
@@ -6,107 +6,109 @@
 
 use super::{Trail, WaveKind, WaveSpec};
 
-/// Times its declared time that a visit is learnt from: twice what an instance is
-/// given before it is set aside.
-const VISIT_TIMES_MAX: u64 = 16;
+/// Cap on a recorded visit, as a multiple of its declared time: twice the timeout
+/// after which an instance is set aside.
+const MAX_VISIT_FACTOR: u64 = 16;
 
-/// A maintenance wave and how far it is.
+/// A maintenance wave and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wave {
-    /// What it does to which instances.
+    /// Its settings.
     pub spec: WaveSpec,
-    /// Whether it goes on.
+    /// Whether it runs, is paused or has ended.
     pub state: WaveState,
     /// When it started, in milliseconds of Unix time.
     pub started_unix_ms: u64,
     /// When it ended, in milliseconds of Unix time.
     pub ended_unix_ms: Option<u64>,
-    /// Instances whose turn is still to come, by pool.
+    /// Instances not visited yet, by pool.
     pub pending: BTreeMap<PoolName, BTreeSet<InstanceName>>,
-    /// Instances it has out of service, and since when in Unix milliseconds.
+    /// Instances it has out of service, each with the start of its drain in
+    /// milliseconds of Unix time.
     pub out: BTreeMap<InstanceName, u64>,
-    /// Instances that came back.
+    /// Number of instances that returned.
     pub done: u32,
-    /// Instances it gave up on, and why.
+    /// Instances it skips, each with the reason.
     pub left_out: BTreeMap<InstanceName, String>,
-    /// How often the turn of an instance was put off.
+    /// How often the visit of an instance was put off.
     pub put_off: BTreeMap<InstanceName, u32>,
-    /// Visits that came back, by pool: what the wave learns from.
+    /// Completed visits by pool, from which the expected visit time is learned.
     pub seen: BTreeMap<PoolName, SeenVisits>,
-    /// What was decided.
+    /// Audit trail of decisions about the wave.
     pub trail: Trail,
 }
 
-/// Visits of one pool that came back.
+/// Completed visits of one pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenVisits {
-    /// How many.
+    /// Number of visits.
     pub count: u32,
-    /// Their time out of service together, in milliseconds.
+    /// Sum of their times out of service, in milliseconds.
     pub total_ms: u64,
 }
 
 impl SeenVisits {
-    /// Their mean; none until two came back, which is enough to tell a declared
-    /// time that is off by four from the spread.
+    /// Returns the mean, or none for fewer than two visits: two are enough to tell
+    /// a declared time that is wrong by a factor of four from ordinary spread.
     fn mean_ms(self) -> Option<u64> {
         let mean_ms = self.total_ms.checked_div(u64::from(self.count))?;
         (self.count >= 2).then_some(mean_ms.max(1))
     }
 }
 
-/// Whether a wave goes on.
+/// State of a wave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 pub enum WaveState {
-    /// It goes on.
+    /// It visits instances.
     #[display("running")]
     Running,
-    /// A failure broke the budget of a pool that it still has to visit.
+    /// The budget of a pool that it still has to visit is broken.
     #[display("paused: {why}")]
     Paused {
         /// The pool.
         pool: PoolName,
-        /// The arithmetic at the time.
+        /// The budget calculation when the wave was paused.
         why: String,
     },
-    /// All instances were visited or left out.
+    /// All instances were visited or skipped.
     #[display("done")]
     Done,
-    /// An operator ended it.
+    /// An operator stopped it.
     #[display("stopped")]
     Stopped,
 }
 
 impl Wave {
-    /// Whether it may still take instances out.
+    /// Whether it is running or paused.
     pub fn is_active(&self) -> bool {
         matches!(self.state, WaveState::Running | WaveState::Paused { .. })
     }
 
-    /// Instances whose turn is still to come.
+    /// Number of instances not visited yet.
     pub fn pending_len(&self) -> usize {
         self.pending.values().map(BTreeSet::len).sum()
     }
 
-    /// Expected time out of service of one instance, in milliseconds: what was
-    /// seen in all pools, or else declared.
+    /// Expected time out of service of one instance, in milliseconds: the mean over
+    /// all pools, or the declared time without enough visits.
     pub fn visit_ms(&self) -> u64 {
-        let mut all = SeenVisits::default();
+        let mut total = SeenVisits::default();
         for seen in self.seen.values() {
-            all.count += seen.count;
-            all.total_ms += seen.total_ms;
+            total.count += seen.count;
+            total.total_ms += seen.total_ms;
         }
-        all.mean_ms().unwrap_or_else(|| self.spec.visit_ms())
+        total.mean_ms().unwrap_or_else(|| self.spec.visit_ms())
     }
 
-    /// The same for one pool, whose services' run times decide how long it
-    /// drains: what was seen there, or else declared.
+    /// Expected time out of service of one instance of `pool`, in milliseconds: the
+    /// mean of that pool, or the declared time without enough visits. The run
+    /// times of a pool's services determine how long its instances drain.
     pub fn pool_visit_ms(&self, pool: &PoolName) -> u64 {
         let seen = self.seen.get(pool).copied().unwrap_or_default();
         seen.mean_ms().unwrap_or_else(|| self.spec.visit_ms())
     }
 
-    /// The absence its instances are under.
+    /// The absence of the instances it takes out of service.
     pub fn absence(&self) -> Absence {
         let wave = self.spec.name.clone();
         match self.spec.kind {
@@ -115,31 +117,36 @@
         }
     }
 
-    pub(super) fn put(&mut self, pool: &PoolName, instance: &InstanceName) {
+    pub(super) fn add_pending(&mut self, pool: &PoolName, instance: &InstanceName) {
         let set = self.pending.entry(pool.clone()).or_default();
         set.insert(instance.clone());
     }
 
-    /// Takes an instance from those still to come.
-    pub(super) fn take(&mut self, pool: &PoolName, instance: &InstanceName) -> bool {
+    /// Removes an instance from the pending ones and returns whether it was one.
+    pub(super) fn remove_pending(&mut self, pool: &PoolName, instance: &InstanceName) -> bool {
         let Some(set) = self.pending.get_mut(pool) else {
             return false;
         };
-        let had = set.remove(instance);
+        let was_pending = set.remove(instance);
         if set.is_empty() {
             self.pending.remove(pool);
         }
-        had
+        was_pending
     }
 
-    pub(super) fn came_back(&mut self, pool: &PoolName, instance: &InstanceName, at_unix_ms: u64) {
+    pub(super) fn record_return(
+        &mut self,
+        pool: &PoolName,
+        instance: &InstanceName,
+        at_unix_ms: u64,
+    ) {
         if let Some(since) = self.out.remove(instance) {
             self.done += 1;
             let seen = self.seen.entry(pool.clone()).or_default();
             seen.count += 1;
-            // A wall clock that jumped must not make all visits look days long.
-            let most_ms = VISIT_TIMES_MAX * self.spec.visit_ms();
-            seen.total_ms += at_unix_ms.saturating_sub(since).min(most_ms);
+            // Caps the effect of a wall clock that jumps: visits must not look days long.
+            let max_ms = MAX_VISIT_FACTOR * self.spec.visit_ms();
+            seen.total_ms += at_unix_ms.saturating_sub(since).min(max_ms);
         }
     }
 }
--- a/src/maintenance/wave_spec.rs
+++ b/src/maintenance/wave_spec.rs
@@ -4,23 +4,24 @@
 
 use super::WaveWeights;
 
-/// What a maintenance wave does to which instances.
+/// Settings of a maintenance wave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WaveSpec {
-    /// Its name, used once.
+    /// Its unique name.
     pub name: WaveName,
     /// What is done to each instance.
     pub kind: WaveKind,
-    /// The instances.
+    /// The instances it visits.
     pub selection: Selection,
-    /// Declared time from the drain's start to its end, in milliseconds.
+    /// Declared duration of a drain, in milliseconds.
     pub drain_ms: u64,
-    /// Declared time from the stop until it serves again, in milliseconds.
+    /// Declared time from the stop of an instance until it serves again, in
+    /// milliseconds.
     pub absence_ms: u64,
-    /// How far single times lie from the declared ones, in percent.
+    /// Expected deviation of single times from the declared ones, in percent.
     pub spread_percent: u32,
-    /// What the deployment pays for.
+    /// Weights of roll-out time, moves and buffer.
     pub weights: WaveWeights,
 }
 
@@ -31,7 +32,7 @@
     /// It restarts.
     #[display("reboot")]
     Reboot,
-    /// Another machine takes its name.
+    /// Another machine takes over its name.
     #[display("replace")]
     Replace,
 }
@@ -58,7 +59,7 @@
 }
 
 impl Selection {
-    /// Whether the instance is one of them.
+    /// Whether the selection contains the instance.
     pub fn holds(&self, instance: &Instance) -> bool {
         match self {
             Self::All => true,
--- a/src/maintenance/wave_weights.rs
+++ b/src/maintenance/wave_weights.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// What a deployment pays for in a wave, in one currency of its own.
+/// Weights of a wave's costs, in a unit chosen by the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WaveWeights {
@@ -8,19 +8,20 @@
     pub rollout_per_minute: u32,
     /// Cost of one instance move.
     pub per_move: u32,
-    /// Cost of one instance kept from its own pool for an hour.
+    /// Cost of one instance that is unavailable to its own pool for an hour.
     pub buffer_per_instance_hour: u32,
 }
 
 impl WaveWeights {
-    /// For short rounds with deadlines: a move is worth a minute.
+    /// For short waves with deadlines: a move costs as much as a minute.
     pub const ROLLOUT_FIRST: Self = Self {
         rollout_per_minute: 10,
         per_move: 10,
         buffer_per_instance_hour: 10,
     };
 
-    /// Where every move risks a booking: a move is worth ten hours.
+    /// For deployments where every move puts a booking at risk: a move costs as much
+    /// as ten hours.
     pub const MOVES_FIRST: Self = Self {
         rollout_per_minute: 1,
         per_move: 600,
@@ -32,8 +33,8 @@
         rollout_ms.saturating_mul(u64::from(self.rollout_per_minute)) / 60
     }
 
-    /// Cost of lending `loans` instances for `lent_ms` each and taking them
-    /// back, in thousandths.
+    /// Cost of lending `loans` instances for `lent_ms` each and returning them, in
+    /// thousandths.
     pub fn loan_cost(&self, loans: u32, lent_ms: u64) -> u64 {
         let moves = 2_000 * u64::from(self.per_move);
         let buffer = lent_ms.saturating_mul(u64::from(self.buffer_per_instance_hour)) / 3_600;
--- a/tests/maintenance/faults.rs
+++ b/tests/maintenance/faults.rs
@@ -1,4 +1,4 @@
-//! One fault at a time, each with what it must come to.
+//! Tests of single faults and their required outcomes.
 
 use rosemarygauge::cmd::measure_waves::{Fate, MachineState, World, fleet};
 use rosemarygauge::maintenance::{
@@ -8,7 +8,7 @@
 
 use super::worlds::{MINUTE_MS, audit, kill_rack, wave};
 
-fn world(survive: Survive) -> World {
+fn new_world(survive: Survive) -> World {
     let mut world = World::new(fleet(50, 5, survive), 1);
     world.draw(30, |_| (MINUTE_MS, 4 * MINUTE_MS));
     world.audit = audit;
@@ -25,7 +25,7 @@
     &world.fleet.instances()[name].duty
 }
 
-fn is_aside(world: &World, name: &InstanceName) -> bool {
+fn is_set_aside(world: &World, name: &InstanceName) -> bool {
     matches!(
         duty(world, name),
         Duty::Away {
@@ -34,36 +34,39 @@
     )
 }
 
-fn state(world: &World) -> &WaveState {
+fn wave_state(world: &World) -> &WaveState {
     &world.fleet.waves()["roll"].state
 }
 
-fn start(world: &mut World, selection: Selection) {
+fn start_wave(world: &mut World, selection: Selection) {
     world
         .apply(&wave("roll", WaveKind::Reboot, selection))
         .unwrap();
 }
 
-/// A rack's switch dies while a wave has two instances of each pool out. Four
-/// pools fall below their budgets, which no step of ours may do. The wave
-/// pauses and names the pool and its numbers; the rack is restarted unasked;
-/// the wave goes on by itself and reaches every instance.
+/// A rack fails while a wave has two instances of each pool out, and four pools fall
+/// below their budgets. The wave must pause and give the budget use of a pool, the
+/// rack must be repaired without an operator, and the wave must then resume and visit
+/// every instance.
 #[test]
 fn rack_lost_mid_wave() {
-    let mut world = world(Survive::Instance);
-    start(&mut world, Selection::All);
+    let mut world = new_world(Survive::Instance);
+    start_wave(&mut world, Selection::All);
     world.run_until(10 * MINUTE_MS, |_| false);
     kill_rack(&mut world, &"worker-00040".into());
-    assert!(world.run_until(MINUTE_MS, |w| matches!(state(w), WaveState::Paused { .. })));
-    let WaveState::Paused { why, .. } = state(&world) else {
+    assert!(world.run_until(MINUTE_MS, |w| matches!(
+        wave_state(w),
+        WaveState::Paused { .. }
+    )));
+    let WaveState::Paused { why, .. } = wave_state(&world) else {
         unreachable!()
     };
     assert!(
         why.contains("failed") && why.contains("breaks its need of"),
         "{why}"
     );
-    assert!(world.run_until(30 * MINUTE_MS, |w| *state(w) == WaveState::Running));
-    assert!(world.run_until(120 * MINUTE_MS, |w| *state(w) == WaveState::Done));
+    assert!(world.run_until(30 * MINUTE_MS, |w| *wave_state(w) == WaveState::Running));
+    assert!(world.run_until(120 * MINUTE_MS, |w| *wave_state(w) == WaveState::Done));
     let wave = &world.fleet.waves()["roll"];
     assert_eq!((wave.done, wave.left_out.len()), (50, 0));
     let notes: Vec<String> = wave.trail.iter().map(|note| note.text.clone()).collect();
@@ -73,17 +76,17 @@
     );
 }
 
-/// One rebooted instance never comes back. Its pool would lose that slot of the
-/// wave for ever. After eight times its time it is set aside with the reason,
-/// and the wave ends without it.
+/// A rebooted instance never returns and would block a slot of the wave forever.
+/// After eight times its expected time it must be set aside with the reason, and the
+/// wave must end without it.
 #[test]
 fn instance_that_never_returns() {
-    let mut world = world(Survive::Instance);
+    let mut world = new_world(Survive::Instance);
     let lost = member(&world, "pool-02", 0);
     world.machines.get_mut(&lost).unwrap().fate = Fate::Never;
-    start(&mut world, Selection::Pool("pool-02".into()));
-    assert!(world.run_until(180 * MINUTE_MS, |w| *state(w) == WaveState::Done));
-    assert!(is_aside(&world, &lost));
+    start_wave(&mut world, Selection::Pool("pool-02".into()));
+    assert!(world.run_until(180 * MINUTE_MS, |w| *wave_state(w) == WaveState::Done));
+    assert!(is_set_aside(&world, &lost));
     let why = &world.fleet.waves()["roll"].left_out[&lost];
     assert!(why.starts_with("it did not return within"), "{why}");
     let notes = world.fleet.explain_instance(&lost).unwrap();
@@ -93,20 +96,20 @@
     );
 }
 
-/// A rebooted instance answers, takes requests and fails them all. The callers'
-/// dispatchers notice; it counts as failed; repair restarts it three times; then
-/// it is set aside, or it would take its share of requests each time for ever.
+/// A rebooted instance reports and accepts requests, but fails all of them. The
+/// dispatchers notice it, and it counts as failed. After three repairs it must be set
+/// aside; otherwise requests would fail after every further one.
 #[test]
 fn instance_that_comes_back_sick() {
-    let mut world = world(Survive::Instance);
+    let mut world = new_world(Survive::Instance);
     let sick = member(&world, "pool-02", 0);
     world.machines.get_mut(&sick).unwrap().fate = Fate::Sick;
-    start(&mut world, Selection::Pool("pool-02".into()));
-    assert!(world.run_until(180 * MINUTE_MS, |w| is_aside(w, &sick)));
+    start_wave(&mut world, Selection::Pool("pool-02".into()));
+    assert!(world.run_until(180 * MINUTE_MS, |w| is_set_aside(w, &sick)));
     assert_eq!(world.fleet.record(&sick).unwrap().repairs_unix_ms.len(), 3);
     assert_eq!(world.machines[&sick].cut_off, 0, "what ran was cut off");
-    assert!(world.run_until(180 * MINUTE_MS, |w| *state(w) == WaveState::Done));
-    // Mended by hand and restored, it is a new instance to repair.
+    assert!(world.run_until(180 * MINUTE_MS, |w| *wave_state(w) == WaveState::Done));
+    // Once fixed and restored by an operator, it is repaired again after a failure.
     world.machines.get_mut(&sick).unwrap().fate = Fate::Returns;
     let instance = sick.clone();
     world.apply(&FleetCommand::Restore { instance }).unwrap();
@@ -117,12 +120,12 @@
     assert_eq!(*duty(&world, &sick), Duty::Serving);
 }
 
-/// An instance dies between its drain and its change of pool. The move is
-/// undone: it is failed in its old pool, whose budget counts it, and repair
-/// brings it back there.
+/// An instance fails between its drain and its change of pool. The move must be
+/// aborted: the instance counts as failed in the budget of its old pool and is
+/// repaired there.
 #[test]
 fn instance_dies_mid_move() {
-    let mut world = world(Survive::Instance);
+    let mut world = new_world(Survive::Instance);
     let name = member(&world, "pool-01", 0);
     let (instance, to) = (name.clone(), "pool-03".into());
     world
@@ -140,16 +143,16 @@
     assert!(world.run_until(30 * MINUTE_MS, |w| !w.fleet.is_failed(&name)));
 }
 
-/// An entry instance is cut off before a move starts. It may go on sending the
-/// old pool's requests, so the instance may not serve the new one. While the
-/// upstream still says that it serves, the move is frozen and names the entry.
-/// Once the upstream has drained, its permissions run out and the move ends.
+/// An entry instance is partitioned before a move starts and may go on sending
+/// requests of the old pool, so the instance must not serve the new pool yet. The
+/// move waits while requests run or the entry has not acknowledged the drain, and
+/// finishes once the upstream has drained and the dispatch leases have expired.
 #[test]
 fn silent_entry_during_a_move() {
-    let mut world = world(Survive::Instance);
+    let mut world = new_world(Survive::Instance);
     let name = member(&world, "pool-01", 0);
     world.silent.insert("entry-b".into());
-    // Its work takes eleven minutes to end.
+    // Its running work takes eleven minutes.
     world.machines.get_mut(&name).unwrap().drain_ms = 11 * MINUTE_MS;
     let (instance, to) = (name.clone(), "pool-03".into());
     world
@@ -161,8 +164,8 @@
     assert!(world.run_until(2 * MINUTE_MS, moved));
     assert_eq!(world.fleet.instances()[&name].epoch, 2);
 
-    // A second one has nothing running and says nothing more of its drain: only
-    // the acknowledgement is missing, and it stays where it is.
+    // A second instance has nothing running. Only the acknowledgement is missing, and
+    // the move waits until the dispatch leases have expired.
     let name = member(&world, "pool-02", 0);
     let (instance, to) = (name.clone(), "pool-03".into());
     world.machines.get_mut(&name).unwrap().drain_ms = 0;
@@ -179,14 +182,13 @@
     assert!(world.run_until(30_000, moved));
 }
 
-/// An instance is repaired, and a second of its pool is lost while the first is
-/// just back. Both losses are counted, nothing voluntary starts in between, and
-/// both are whole again without an operator.
+/// A second instance of a pool fails right after the repair of a first one. Both must
+/// recover without an operator, and the wave must end with the budget intact.
 #[test]
 fn second_instance_lost_right_after_a_repair() {
-    let mut world = world(Survive::Instance);
+    let mut world = new_world(Survive::Instance);
     let (first, second) = (member(&world, "pool-04", 11), member(&world, "pool-04", 10));
-    start(&mut world, Selection::Pool("pool-04".into()));
+    start_wave(&mut world, Selection::Pool("pool-04".into()));
     world.kill(&first);
     let repaired = |w: &World| {
         let record = w.fleet.record(&first).unwrap();
@@ -195,16 +197,16 @@
     assert!(world.run_until(30 * MINUTE_MS, repaired));
     world.kill(&second);
     assert!(world.run_until(MINUTE_MS, |w| w.fleet.is_failed(&second)));
-    assert!(world.run_until(120 * MINUTE_MS, |w| *state(w) == WaveState::Done));
+    assert!(world.run_until(120 * MINUTE_MS, |w| *wave_state(w) == WaveState::Done));
     assert!(world.fleet.failed().is_empty() && world.fleet.broken().is_empty());
 }
 
-/// A zone is cut off from the leader. Its instances are silent here but serve
-/// their own zone's callers. Rebooting them would stop what the cut had left
-/// standing; they are left alone until most of the zone is back.
+/// A zone is partitioned from the leader. Its instances send no reports to the leader
+/// but serve their own zone's callers, and rebooting them would stop that. They must
+/// not be repaired.
 #[test]
 fn zone_cut_off_is_not_repaired() {
-    let mut world = world(Survive::Instance);
+    let mut world = new_world(Survive::Instance);
     let zone: Vec<InstanceName> = world
         .fleet
         .instances()
@@ -221,12 +223,13 @@
     assert_eq!(zone.iter().map(repairs).sum::<usize>(), 0);
 }
 
-/// Some instances of a zone are set aside; later a few more are lost. Together
-/// they are more than half of the zone, but it is not cut off: what was set aside
-/// long ago says nothing of it. The lost ones are repaired, four at a time.
+/// Some instances of a zone are set aside, and later a few more fail. Together they
+/// are more than half of the zone, but it is not partitioned, since instances that
+/// were set aside say nothing about that. The failed ones must be repaired, at most
+/// four at the same time.
 #[test]
 fn instances_set_aside_do_not_make_a_zone_look_cut_off() {
-    let mut world = world(Survive::Instance);
+    let mut world = new_world(Survive::Instance);
     let of_zone = world
         .fleet
         .instances()
@@ -243,7 +246,7 @@
             .apply(&FleetCommand::SetAside { instance, reason })
             .unwrap();
     }
-    // Five here and two elsewhere.
+    // Five in this zone and two in another.
     let lost = zone[6..11]
         .iter()
         .cloned()
@@ -270,22 +273,25 @@
     assert!(lost.iter().all(|name| !world.fleet.is_failed(name)));
 }
 
-/// A pool loses instances for good and stays below its budget; its wave would
-/// stay paused for ever. It borrows from the pool with the most to spare.
+/// A pool permanently loses instances and stays below its budget, so that its wave
+/// would stay paused forever. It must borrow from the pool with the most room.
 #[test]
-fn pool_that_repair_cannot_mend_borrows() {
-    let mut world = world(Survive::Instance);
+fn pool_that_stays_broken_borrows() {
+    let mut world = new_world(Survive::Instance);
     for nth in 0..3 {
         let name = member(&world, "pool-00", nth);
         world.machines.get_mut(&name).unwrap().fate = Fate::Never;
         world.kill(&name);
     }
-    start(&mut world, Selection::Pool("pool-00".into()));
-    assert!(world.run_until(MINUTE_MS, |w| matches!(state(w), WaveState::Paused { .. })));
-    assert!(world.run_until(180 * MINUTE_MS, |w| *state(w) == WaveState::Done));
+    start_wave(&mut world, Selection::Pool("pool-00".into()));
+    assert!(world.run_until(MINUTE_MS, |w| matches!(
+        wave_state(w),
+        WaveState::Paused { .. }
+    )));
+    assert!(world.run_until(180 * MINUTE_MS, |w| *wave_state(w) == WaveState::Done));
     assert!(world.fleet.broken().is_empty());
     assert!(!world.fleet.loans().is_empty());
-    // Mended by hand and restored, the pool gives back what it borrowed.
+    // Once an operator has fixed and restored its instances, the pool returns the loans.
     for instance in world.fleet.absent().clone() {
         world.machines.get_mut(&instance).unwrap().state = MachineState::Serving;
         world.apply(&FleetCommand::Restore { instance }).unwrap();
@@ -295,12 +301,12 @@
     assert_eq!(members, 8);
 }
 
-/// An operator's order comes twice, and a late one after the instance has gone
-/// on: each is refused with what the instance is doing, and changes nothing.
+/// Commands that arrive twice, or late after the instance has changed, must be refused
+/// with the reason and change nothing.
 #[test]
-fn late_and_repeated_commands_are_void() {
-    let mut world = world(Survive::Instance);
-    // The log takes what an operator types, proved or not.
+fn late_and_repeated_commands_are_refused() {
+    let mut world = new_world(Survive::Instance);
+    // The fleet accepts a finish without a stop proof, which the audit would reject.
     world.audit = |_, _| {};
     let name = member(&world, "pool-01", 0);
     let (instance, to) = (name.clone(), PoolName::from("pool-03"));
@@ -347,12 +353,12 @@
     ));
 }
 
-/// A loose cable: an instance is silent for ten seconds and heard for ten, for
-/// two hours. Undamped, each turn would be two entries in the log and would take
-/// its pool's budget up and down. It counts as failed nearly all the time.
+/// For two hours, the reports of an instance alternately stop for ten seconds and
+/// arrive for ten. Without damping, each cycle would add two log entries and make the
+/// pool's budget use oscillate. The instance counts as failed nearly all the time.
 #[test]
 fn flapping_instance_does_not_flood_the_log() {
-    let mut world = world(Survive::Instance);
+    let mut world = new_world(Survive::Instance);
     let name = member(&world, "pool-00", 0);
     let before = world.counts.accepted;
     for _ in 0..360 {
@@ -365,52 +371,52 @@
     assert!(accepted < 24, "{accepted} entries");
 }
 
-/// An upstream says that it leaves for good, in the middle of a wave. It gets
-/// nothing new at once, is counted as absent, and is forgotten when nothing runs
-/// on it any more; the wave goes on without it.
+/// An upstream reports during a wave that it leaves for good. It must count as failed
+/// at once and be removed only when nothing runs on it any more; the wave must
+/// continue without it.
 #[test]
 fn upstream_that_leaves() {
-    let mut world = world(Survive::Instance);
+    let mut world = new_world(Survive::Instance);
     let name = member(&world, "pool-00", 7);
-    start(&mut world, Selection::Pool("pool-00".into()));
+    start_wave(&mut world, Selection::Pool("pool-00".into()));
     world.machines.get_mut(&name).unwrap().state = MachineState::Leaving {
         until_ms: world.now_ms + MINUTE_MS,
     };
     assert!(world.run_until(3_000, |w| w.fleet.is_failed(&name)));
     assert!(!world.run_until(MINUTE_MS / 2, |w| !w.fleet.instances().contains_key(&name)));
     assert!(world.run_until(MINUTE_MS, |w| !w.fleet.instances().contains_key(&name)));
-    assert!(world.run_until(60 * MINUTE_MS, |w| *state(w) == WaveState::Done));
+    assert!(world.run_until(60 * MINUTE_MS, |w| *wave_state(w) == WaveState::Done));
     assert_eq!(
         world.fleet.waves()["roll"].left_out[&name],
         "it left for good"
     );
 }
 
-/// Work on an instance never ends, so its drain does not. The wave puts it off,
-/// lets the others have their turn, and in the end leaves it out and says why;
-/// it was never stopped with work on it.
+/// Work on an instance never ends, and so its drain does not either. The wave must put
+/// it off, visit the other instances, and finally skip it with the reason, without
+/// ever stopping it while work runs.
 #[test]
 fn drain_that_never_ends() {
-    let mut world = world(Survive::Instance);
+    let mut world = new_world(Survive::Instance);
     let name = member(&world, "pool-00", 0);
     world.machines.get_mut(&name).unwrap().drain_ms = u64::MAX / 2;
-    start(&mut world, Selection::Pool("pool-00".into()));
-    assert!(world.run_until(180 * MINUTE_MS, |w| *state(w) == WaveState::Done));
+    start_wave(&mut world, Selection::Pool("pool-00".into()));
+    assert!(world.run_until(180 * MINUTE_MS, |w| *wave_state(w) == WaveState::Done));
     let why = &world.fleet.waves()["roll"].left_out[&name];
     assert_eq!(why, "put off 3 times: 1 requests run on it");
     assert_eq!(*duty(&world, &name), Duty::Serving);
 }
 
-/// The leader's wall clock jumps a day ahead while instances reboot. By the times
-/// in the log they are a day late; by its own watch they are not. None is set
-/// aside, and what the wave learns of visits stays usable.
+/// The leader's wall clock jumps a day ahead while instances reboot. By the times in
+/// the log they are a day late; by the leader's monotonic clock they are not. None
+/// may be set aside, and the learned visit time must stay plausible.
 #[test]
 fn wall_clock_of_the_leader_jumps() {
-    let mut world = world(Survive::Instance);
-    start(&mut world, Selection::Pool("pool-00".into()));
+    let mut world = new_world(Survive::Instance);
+    start_wave(&mut world, Selection::Pool("pool-00".into()));
     world.run_until(3 * MINUTE_MS, |_| false);
     world.clock_error_ms = 24 * 60 * MINUTE_MS;
-    assert!(world.run_until(60 * MINUTE_MS, |w| *state(w) == WaveState::Done));
+    assert!(world.run_until(60 * MINUTE_MS, |w| *wave_state(w) == WaveState::Done));
     let wave = &world.fleet.waves()["roll"];
     assert_eq!((wave.done, wave.left_out.len()), (8, 0));
     assert!(wave.visit_ms() < 60 * MINUTE_MS, "{}", wave.visit_ms());
--- a/tests/maintenance/fleet_twin.rs
+++ b/tests/maintenance/fleet_twin.rs
@@ -1,6 +1,6 @@
-//! Random commands in random order, from several operators, old leaders and new
-//! ones at once: whatever reaches the log, the fleet's answer must be the one a
-//! recount from scratch gives.
+//! Random commands in random order, as from several operators and from old and new
+//! leaders at the same time: the fleet must accept and refuse them as a recount from
+//! scratch does.
 
 use rand::Rng;
 use rand::seq::IndexedRandom;
@@ -16,7 +16,7 @@
 
 const SURVIVALS: [Survive; 3] = [Survive::None, Survive::Instance, Survive::Rack];
 
-fn command(fleet: &Fleet, rng: &mut ChaCha8Rng) -> FleetCommand {
+fn random_command(fleet: &Fleet, rng: &mut ChaCha8Rng) -> FleetCommand {
     let names: Vec<&InstanceName> = fleet.instances().keys().collect();
     let instance: InstanceName = (*names.choose(rng).unwrap()).clone();
     let pools: Vec<&PoolName> = fleet.pools().keys().collect();
@@ -44,7 +44,7 @@
         9 | 10 => FleetCommand::FinishMove { instance, epoch },
         11 => FleetCommand::AbortMove { instance, reason },
         12 => FleetCommand::StartWave {
-            spec: spec(rng, instance, to),
+            spec: random_spec(rng, instance, to),
         },
         13 if rng.random_ratio(1, 8) => FleetCommand::StopWave { wave },
         13..16 => FleetCommand::BeginAbsence { wave, instance },
@@ -68,7 +68,7 @@
     }
 }
 
-fn spec(rng: &mut ChaCha8Rng, instance: InstanceName, pool: PoolName) -> WaveSpec {
+fn random_spec(rng: &mut ChaCha8Rng, instance: InstanceName, pool: PoolName) -> WaveSpec {
     WaveSpec {
         name: format!("wave-{}", rng.random_range(0..20)).into(),
         kind: if rng.random() {
@@ -88,8 +88,8 @@
     }
 }
 
-/// What a voluntary absence would take out, if it would take anything.
-fn taken<'a>(fleet: &Fleet, command: &'a FleetCommand) -> Option<&'a InstanceName> {
+/// The serving instance that a voluntary absence would take out of service, if any.
+fn instance_taken_out<'a>(fleet: &Fleet, command: &'a FleetCommand) -> Option<&'a InstanceName> {
     let name = match command {
         FleetCommand::Drain { instance }
         | FleetCommand::StartMove { instance, .. }
@@ -103,14 +103,14 @@
 }
 
 #[test]
-fn random_commands_against_a_recount() {
+fn random_commands_match_a_recount() {
     let mut refused_by_budget = 0;
     let mut moved = 0;
     for seed in 0..60 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut fleet = fleet(24, 3, *SURVIVALS.choose(&mut rng).unwrap());
         for at in 0..600 {
-            let command = command(&fleet, &mut rng);
+            let command = random_command(&fleet, &mut rng);
             let before = fleet.clone();
             let result = fleet.apply(at, &command);
             check(&fleet);
@@ -119,7 +119,7 @@
             if result.is_err() {
                 assert_eq!(fleet, before, "a refused {command:?} changed the fleet");
             }
-            let Some(name) = taken(&before, &command) else {
+            let Some(name) = instance_taken_out(&before, &command) else {
                 assert!(
                     !matches!(result, Err(FleetRefusal::Budget { .. })),
                     "{command:?}"
@@ -127,7 +127,7 @@
                 continue;
             };
             let pool = &before.instances()[name].pool;
-            let whole = Recount::of(&before, pool, Some(name)).is_whole();
+            let whole = Recount::of(&before, pool, Some(name)).meets_budget();
             match result {
                 Ok(()) => assert!(whole, "{command:?} broke {pool} (seed {seed})"),
                 Err(FleetRefusal::Budget { after }) => {
@@ -137,19 +137,19 @@
                 Err(_) => {}
             }
         }
-        let told = serde_json::to_string(&fleet).unwrap();
-        assert_eq!(fleet, serde_json::from_str(&told).unwrap());
+        let json = serde_json::to_string(&fleet).unwrap();
+        assert_eq!(fleet, serde_json::from_str(&json).unwrap());
     }
-    // The draw must reach what it is meant to test.
+    // The random commands must reach the cases under test.
     assert!(refused_by_budget > 500, "{refused_by_budget} refusals");
     assert!(moved > 50, "{moved} moves");
 }
 
-/// An operator types a budget of 80 for 8, or drains a second instance of a
-/// pool that has one to spare. Both are refused before they take effect, with
-/// the numbers they can check against their own table.
+/// An operator types a budget of 80 instead of 8, or drains one instance more than a
+/// pool can spare. Both commands are refused without effect, and the refusal shows
+/// the budget calculation.
 #[test]
-fn refusals_show_the_arithmetic() {
+fn refusals_show_the_budget_calculation() {
     let mut fleet = fleet(50, 5, Survive::Instance);
     let mut pool = fleet.pools()[&PoolName::from("pool-00")].clone();
     pool.budget.min_available = 80;
--- a/tests/maintenance/main.rs
+++ b/tests/maintenance/main.rs
@@ -1,5 +1,5 @@
-//! Pools, waves, moves and repair: the fleet against a recount from scratch,
-//! and the controller among fake machines.
+//! Tests of pools, waves, moves and repair: the fleet against a recount from
+//! scratch, and the controller with simulated machines.
 #![allow(missing_docs, clippy::unwrap_used)]
 
 mod faults;
--- a/tests/maintenance/plans.rs
+++ b/tests/maintenance/plans.rs
@@ -1,4 +1,4 @@
-//! Plans against the bounds, the recount and the controller.
+//! Tests of plans against the lower bounds, the recount and the controller.
 
 use rosemarygauge::cmd::measure_waves::{Deployment, Trouble, fleet, measure, spec};
 use rosemarygauge::maintenance::bounds::visits_bound_ms;
@@ -7,8 +7,8 @@
 
 use super::recount::Recount;
 
-/// Plays a plan's visits step by step: the budget holds at each moment, each
-/// selected instance is visited once, and no bound is beaten.
+/// Replays a plan's visits step by step: the budget holds at any time, each selected
+/// instance is visited once, and no figure is below its lower bound.
 #[test]
 fn a_plan_holds_the_budget_and_its_bounds() {
     for (instances, pools) in [(50, 5), (300, 7)] {
@@ -41,18 +41,18 @@
                     fleet
                         .apply(0, &FleetCommand::Health { instance, failed })
                         .unwrap();
-                    assert!(Recount::of(&fleet, pool, None).is_whole());
+                    assert!(Recount::of(&fleet, pool, None).meets_budget());
                 }
             }
         }
     }
 }
 
-/// A pool without any room would hold the wave up for ever. Where another pool
-/// has room, an instance is lent, also by a deployment that shuns moves; where
-/// none has, the plan says which pool is stuck and why.
+/// A pool without any room would block the wave forever. If another pool has room, it
+/// lends an instance, even with weights that avoid moves; otherwise the plan names
+/// the pool that cannot be finished and its budget use.
 #[test]
-fn a_pool_without_room_borrows_or_is_named() {
+fn a_pool_without_room_borrows_or_is_reported() {
     let mut fleet = fleet(50, 5, Survive::Instance);
     let mut wave = spec(Deployment::Tunnels);
     wave.selection = Selection::Pool("pool-00".into());
@@ -77,8 +77,8 @@
     );
 }
 
-/// Every order of a few visits on a few slots, the slow and plain way: none is
-/// shorter than the bound.
+/// Compares the bound with an exhaustive search over the assignments of a few visits
+/// to a few slots: none is shorter.
 #[test]
 fn no_schedule_beats_the_bound() {
     fn best(takes_ms: &[u64], slots: &mut Vec<u64>) -> u64 {
@@ -103,7 +103,8 @@
     }
 }
 
-/// The whole path at both deployments' sizes: waves end near their bounds.
+/// Runs waves end to end at the sizes of both deployments: they end near their
+/// bounds.
 #[test]
 fn waves_end_near_their_bounds() {
     for deployment in [Deployment::Grants, Deployment::Tunnels] {
@@ -117,7 +118,7 @@
                 run.rollout_ms * 100 <= run.rollout_bound_ms * 150,
                 "{run:?}"
             );
-            // Chance alone is no reason to lend.
+            // Random variation of visit times alone must not cause loans.
             let moves_ok = trouble != Trouble::None || run.moves <= run.moves_bound;
             assert!(moves_ok, "{run:?}");
             assert!(run.rollout_ms * 2 < run.rack_by_rack_ms, "{run:?}");
--- a/tests/maintenance/recount.rs
+++ b/tests/maintenance/recount.rs
@@ -1,4 +1,4 @@
-//! The naive twin: counts a pool from scratch, the slow and plain way.
+//! Naive reference model: counts a pool from scratch.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 }
 
 impl Recount {
-    /// Counts the pool as if `without` were absent.
+    /// Counts the pool as if the instance `without` were absent.
     pub fn of(fleet: &Fleet, pool: &PoolName, without: Option<&InstanceName>) -> Self {
         let budget = fleet.pools()[pool].budget;
         let mut racks: BTreeMap<&RackName, u32> = BTreeMap::new();
@@ -41,38 +41,42 @@
         count
     }
 
-    pub fn is_whole(&self) -> bool {
+    pub fn meets_budget(&self) -> bool {
         self.serving - self.worst >= self.needed
     }
 }
 
-/// The fleet's own arithmetic equals the recount, and each instance is counted
-/// in exactly one pool, under exactly one cause.
+/// Checks that the fleet's budget use equals the recount, and that each instance is
+/// counted in exactly one pool and under at most one cause.
 pub fn check(fleet: &Fleet) {
     let mut members = 0;
     for pool in fleet.pools().keys() {
         let used = fleet.budget_use(pool).unwrap();
         let count = Recount::of(fleet, pool, None);
         let absent: u32 = used.absent.values().sum();
-        let told = Recount {
+        let reported = Recount {
             members: used.members,
             serving: used.serving,
             worst: used.worst_loss,
             absent,
             needed: used.needed,
         };
-        assert_eq!(told, count, "pool {pool}");
+        assert_eq!(reported, count, "pool {pool}");
         assert_eq!(
             fleet.broken().contains(pool),
-            !count.is_whole(),
+            !count.meets_budget(),
             "pool {pool}"
         );
         for cause in Cause::ALL {
             let of_cause = fleet.instances().values().filter(|i| {
                 i.pool == *pool && Cause::of(i, fleet.is_failed(&i.name)) == Some(cause)
             });
-            let told = used.absent.get(&cause).copied().unwrap_or(0);
-            assert_eq!(u32::try_from(of_cause.count()).unwrap(), told, "{cause}");
+            let reported = used.absent.get(&cause).copied().unwrap_or(0);
+            assert_eq!(
+                u32::try_from(of_cause.count()).unwrap(),
+                reported,
+                "{cause}"
+            );
         }
         members += fleet.tally(pool).unwrap().members().len();
     }
--- a/tests/maintenance/stop_proof.rs
+++ b/tests/maintenance/stop_proof.rs
@@ -1,4 +1,5 @@
-//! The proof that nothing dispatches to a draining instance any more.
+//! Tests of the proof that no entry instance dispatches to a draining instance any
+//! more.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -55,7 +56,7 @@
 
 fn verdict(proof: &mut StopProof, now_ms: u64, observed: &Observed) -> Verdict {
     let worker: InstanceName = "worker".into();
-    proof.hear(&observed.instances[&worker]);
+    proof.record_report(&observed.instances[&worker]);
     proof.verdict(now_ms, &ControllerSettings::default(), &worker, observed)
 }
 
@@ -63,37 +64,38 @@
 fn acknowledgements_of_all_entries_are_a_proof() {
     let mut proof = StopProof::new(EPOCH, DRAIN_INDEX);
     let serving = || seen(1_000, Standing::Serving, 0, 0);
-    let mut judge =
+    let mut check =
         |acks: &[(&str, u64, u32)], seen| verdict(&mut proof, 1_500, &observed(seen, acks));
-    let behind = judge(&[("a", 100, 0), ("b", 99, 0)], serving());
-    assert_eq!(behind, Verdict::Silent(vec!["b".into()]));
-    let busy = judge(&[("a", 100, 0), ("b", 120, 2)], serving());
+    let behind = check(&[("a", 100, 0), ("b", 99, 0)], serving());
+    assert_eq!(behind, Verdict::Unacknowledged(vec!["b".into()]));
+    let busy = check(&[("a", 100, 0), ("b", 120, 2)], serving());
     assert!(matches!(busy, Verdict::InFlight { count: 2, .. }));
-    // An entry that restarted counts nothing in flight; the upstream knows.
-    let restarted = judge(
+    // An entry that restarted has nothing in flight, but the upstream still runs a
+    // request.
+    let restarted = check(
         &[("a", 100, 0), ("b", 120, 0)],
         seen(1_000, Standing::Draining, 1, 0),
     );
     assert_eq!(restarted, Verdict::Running(1));
-    let all = judge(&[("a", 100, 0), ("b", 120, 0)], serving());
+    let all = check(&[("a", 100, 0), ("b", 120, 0)], serving());
     assert_eq!(all, Verdict::Acknowledged);
-    // It may have died with that report, idle or not.
+    // The instance may have failed right after its last report.
     let silent = observed(serving(), &[("a", 100, 0)]);
     assert_eq!(
         verdict(&mut StopProof::new(EPOCH, DRAIN_INDEX), 6_000, &silent),
-        Verdict::Unheard
+        Verdict::NoRecentReport
     );
-    // Without a membership there is nobody who acknowledged.
-    assert_eq!(judge(&[], serving()), Verdict::Silent(vec![]));
+    // Without entry instances there is no acknowledgement.
+    assert_eq!(check(&[], serving()), Verdict::Unacknowledged(vec![]));
 }
 
-/// A caller of the new pool and one of the old would share an instance. An entry
-/// instance is cut off from the log, but hears the upstream. It dispatches up to
-/// a lease after the last `Serving` it heard. The proof by reports must never
-/// come while that permission may be valid, however reports are lost or late
-/// and whatever an earlier drain of the same instance left behind.
+/// Guards against an instance that serves two pools at the same time. An entry
+/// instance is partitioned from the log but receives the upstream's reports, and
+/// dispatches for up to a lease after the last `Serving` report. The proof by lease
+/// must not succeed while that lease may be valid, even if reports are lost or late
+/// and the upstream restarts.
 #[test]
-fn no_proof_while_a_silent_entry_is_permitted() {
+fn no_proof_while_a_partitioned_entry_may_dispatch() {
     let settings = ControllerSettings::default();
     let mut proofs = 0;
     for seed in 0..400 {
@@ -101,7 +103,7 @@
         let mut proof = StopProof::new(EPOCH, DRAIN_INDEX);
         let drains_at_ms = rng.random_range(0..20_000_u64);
         let ends_at_ms = drains_at_ms + rng.random_range(0..10_000);
-        // The last request: the upstream took it just before it drained.
+        // The last request starts just before the drain.
         let starts_at_ms = drains_at_ms.saturating_sub(500);
         let mut permitted_until_ms = 0;
         let mut heard = seen(0, Standing::Serving, 1, 0);
@@ -118,27 +120,27 @@
             };
             let mut report = seen(now_ms, standing, running, age_ms);
             if rng.random_ratio(1, 30) {
-                // A new start is told neither epoch nor drain yet, or told the
-                // epoch by an entry that has not yet lost its view.
+                // After a restart the upstream knows neither epoch nor drain, or got
+                // the epoch from an entry whose view is still valid.
                 incarnation += 1;
                 report.report.standing = Standing::Serving;
                 report.report.pool_epoch = if rng.random() { EPOCH } else { 0 };
             }
             report.report.incarnation = incarnation;
-            let permits = report.report.pool_epoch == EPOCH;
-            if permits && report.report.standing == Standing::Serving {
+            let same_epoch = report.report.pool_epoch == EPOCH;
+            if same_epoch && report.report.standing == Standing::Serving {
                 permitted_until_ms = now_ms + settings.dispatch_lease_ms;
             }
             if rng.random_ratio(7, 10) {
                 heard = report;
             }
-            let judged = verdict(
+            let result = verdict(
                 &mut proof,
                 now_ms,
                 &observed(heard.clone(), &[("cut-off", 3, 0)]),
             );
-            if judged.is_stopped() {
-                assert_eq!(judged, Verdict::LeaseRanOut);
+            if result.is_stopped() {
+                assert_eq!(result, Verdict::LeaseExpired);
                 assert!(now_ms >= ends_at_ms, "seed {seed} at {now_ms}");
                 assert!(now_ms >= permitted_until_ms, "seed {seed} at {now_ms}");
                 proofs += 1;
@@ -149,16 +151,16 @@
     assert!(proofs > 200, "{proofs} proofs");
 }
 
-/// An instance is drained, serves again, and is drained again. A report of the
-/// first drain arrives late, during the second. It carries the first epoch, so
-/// it proves nothing of the second.
+/// An instance is drained, serves again, and is drained again. A report of the first
+/// drain arrives during the second one. It has the first epoch, so it must not prove
+/// the second stop.
 #[test]
 fn a_late_report_of_an_earlier_drain_proves_nothing() {
     let mut proof = StopProof::new(EPOCH, DRAIN_INDEX);
     for now_ms in (1_000..30_000).step_by(1_000) {
         let mut late = seen(now_ms, Standing::Draining, 0, 0);
         late.report.pool_epoch = EPOCH - 1;
-        let judged = verdict(&mut proof, now_ms, &observed(late, &[("cut-off", 3, 0)]));
-        assert_eq!(judged, Verdict::Silent(vec!["cut-off".into()]));
+        let result = verdict(&mut proof, now_ms, &observed(late, &[("cut-off", 3, 0)]));
+        assert_eq!(result, Verdict::Unacknowledged(vec!["cut-off".into()]));
     }
 }
--- a/tests/maintenance/worlds.rs
+++ b/tests/maintenance/worlds.rs
@@ -1,4 +1,4 @@
-//! Whole fleets among fake machines under random trouble.
+//! Whole fleets with simulated machines under random faults.
 
 use rand::Rng;
 use rand::seq::IndexedRandom;
@@ -12,8 +12,8 @@
 
 pub const MINUTE_MS: u64 = 60_000;
 
-/// After each command: the budget holds after every voluntary step, and nothing
-/// can still be dispatched to an instance that moved or was stopped.
+/// Checked after each command: the budget holds after every voluntary absence, and no
+/// entry instance may still dispatch to an instance that moved or was stopped.
 pub fn audit(world: &World, command: &FleetCommand) {
     check(&world.fleet);
     match command {
@@ -23,7 +23,7 @@
         | FleetCommand::BeginAbsence { instance, .. } => {
             let pool = &world.fleet.instances()[instance].pool;
             let count = Recount::of(&world.fleet, pool, None);
-            assert!(count.is_whole(), "{command:?} left {pool} at {count:?}");
+            assert!(count.meets_budget(), "{command:?} left {pool} at {count:?}");
         }
         FleetCommand::FinishMove { instance, epoch } => {
             assert!(!world.is_permitted(instance, *epoch), "{command:?}");
@@ -52,7 +52,7 @@
     }
 }
 
-fn trouble(world: &mut World, rng: &mut ChaCha8Rng) {
+fn inject_fault(world: &mut World, rng: &mut ChaCha8Rng) {
     let names: Vec<InstanceName> = world.fleet.instances().keys().cloned().collect();
     let instance = names.choose(rng).unwrap().clone();
     let pools: Vec<PoolName> = world.fleet.pools().keys().cloned().collect();
@@ -120,8 +120,8 @@
     }
 }
 
-/// Nothing is half done: who is absent is set aside, and only a fleet without any
-/// instance to spare may hold a wave up.
+/// Whether nothing is in progress: all absent and failed instances are set aside, and
+/// no wave is active unless the fleet has no instance to spare.
 fn is_settled(world: &World) -> bool {
     let instances = world.fleet.instances();
     let mut absent = world
@@ -129,7 +129,7 @@
         .absent()
         .iter()
         .map(|name| &instances[name].duty);
-    let aside = |duty: &Duty| {
+    let is_set_aside = |duty: &Duty| {
         let absence = match duty {
             Duty::Away { absence } => absence,
             _ => return false,
@@ -140,23 +140,22 @@
         let room = world.fleet.tally(name).unwrap().room();
         room.width_bound(&pool.budget) > 0
     });
-    let over = world.fleet.waves().values().all(|w| !w.is_active());
-    absent.all(aside)
+    let ended = world.fleet.waves().values().all(|w| !w.is_active());
+    absent.all(is_set_aside)
         && world
             .fleet
             .failed()
             .iter()
-            .all(|name| aside(&instances[name].duty))
-        && (over || !spare)
+            .all(|name| is_set_aside(&instances[name].duty))
+        && (ended || !spare)
 }
 
-/// Callers see their pools hold their budgets and their requests run in the
-/// pool they asked, while instances and racks are lost, some never return or
-/// return sick, entry instances fall silent, leaders change, and operators start
-/// drains, moves and waves into it. When the trouble is over, nothing is left
-/// half done.
+/// Budgets hold and requests run only in the pool they were sent to while instances
+/// and racks fail, some never return or return sick, entry instances are partitioned,
+/// leaders change, and operators start drains, moves and waves. Once the faults end,
+/// no operation stays unfinished.
 #[test]
-fn budgets_and_pools_hold_under_random_trouble() {
+fn budgets_and_pools_hold_under_random_faults() {
     let (mut moves, mut aside, mut waves) = (0, 0, 0);
     for seed in 0..16 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -169,7 +168,7 @@
         world.draw(30, |_| (MINUTE_MS, 4 * MINUTE_MS));
         world.audit = audit;
         for _ in 0..120 {
-            trouble(&mut world, &mut rng);
+            inject_fault(&mut world, &mut rng);
             let steps = rng.random_range(1..90);
             world.run_until(steps * 1_000, |_| false);
         }
