--- a/src/maintenance/controller.rs
+++ b/src/maintenance/controller.rs
@@ -15,7 +15,7 @@
 /// Divisor of a timeout that gives the time for which this controller itself must
 /// have observed the absence. Half the timeout is still four times the expected
 /// time, and keeps a new leader from setting instances aside at once.
-const WATCHED_DIVISOR: u64 = 2;
+const WATCHED_TIMEOUT_DIVISOR: u64 = 2;
 
 /// Runs the fleet's maintenance on the leader: detects failures, proves stops,
 /// finishes moves, and runs waves and repairs.
@@ -190,7 +190,7 @@
             .get(name)
             .map_or(step.now_ms, |watched| watched.1);
         let watched_ms = step.now_ms.saturating_sub(since_ms);
-        step.since_ms(name) > timeout_ms && watched_ms > timeout_ms / WATCHED_DIVISOR
+        step.since_ms(name) > timeout_ms && watched_ms > timeout_ms / WATCHED_TIMEOUT_DIVISOR
     }
 
     /// Sends an order, and repeats it only after the retry interval.
--- a/src/maintenance/controller/absences.rs
+++ b/src/maintenance/controller/absences.rs
@@ -73,7 +73,7 @@
         // A failed instance that sends no reports is restarted without proof, because
         // its requests are lost already. One that still reports needs the proof,
         // even if it fails its requests.
-        let lost = step.fleet.is_failed(name) && !self.is_heard(step, name);
+        let lost = step.fleet.is_failed(name) && !self.has_recent_report(step, name);
         let stopped = verdict.is_ok() || lost;
         if let Some(incarnation) = incarnation.filter(|_| stopped) {
             let command = FleetCommand::MarkAway {
@@ -145,7 +145,7 @@
         }
     }
 
-    fn is_heard(&self, step: &Step<'_>, name: &InstanceName) -> bool {
+    fn has_recent_report(&self, step: &Step<'_>, name: &InstanceName) -> bool {
         let seen = step.seen(name);
         seen.is_some_and(|s| s.is_fresh(step.now_ms, self.settings.failed_after_ms))
     }
@@ -162,7 +162,9 @@
     ) -> PlatformOrder {
         let left = step.fleet.record(name).map_or(0, |r| r.left_incarnation);
         let busy = step.seen(name).is_some_and(|seen| {
-            seen.report.incarnation == left && seen.report.running > 0 && self.is_heard(step, name)
+            seen.report.incarnation == left
+                && seen.report.running > 0
+                && self.has_recent_report(step, name)
         });
         let replace = matches!(absence, Absence::Replace { .. });
         if busy && step.since_ms(name) < timeout_ms(away_ms) / 4 {
@@ -192,13 +194,13 @@
             self.returned_since.remove(name);
             return None;
         };
-        let heard = self.returned_since.entry(name.clone());
-        let heard = heard.or_insert((incarnation, step.now_ms));
+        let returned = self.returned_since.entry(name.clone());
+        let returned = returned.or_insert((incarnation, step.now_ms));
         // An instance that restarts repeatedly never becomes stable.
-        if heard.0 != incarnation {
-            *heard = (incarnation, step.now_ms);
+        if returned.0 != incarnation {
+            *returned = (incarnation, step.now_ms);
         }
-        let stable = step.now_ms.saturating_sub(heard.1) >= self.settings.stable_ms / 2;
+        let stable = step.now_ms.saturating_sub(returned.1) >= self.settings.stable_ms / 2;
         stable.then_some(incarnation)
     }
 
--- a/src/maintenance/controller/repairs.rs
+++ b/src/maintenance/controller/repairs.rs
@@ -11,10 +11,10 @@
     pub(super) fn detect(&mut self, step: &mut Step<'_>) {
         let fleet = step.fleet;
         // Both maps are sorted by name: a merge of the two saves a lookup per instance.
-        let mut heard = step.observed.instances.iter().peekable();
+        let mut reports = step.observed.instances.iter().peekable();
         for (name, instance) in fleet.instances() {
-            while heard.next_if(|(other, _)| *other < name).is_some() {}
-            let seen = heard.next_if(|(other, _)| *other == name);
+            while reports.next_if(|(other, _)| *other < name).is_some() {}
+            let seen = reports.next_if(|(other, _)| *other == name);
             if matches!(instance.duty, Duty::Away { .. }) {
                 continue;
             }
--- a/src/maintenance/detector.rs
+++ b/src/maintenance/detector.rs
@@ -79,9 +79,9 @@
         seen: Option<&InstanceSeen>,
     ) -> bool {
         let heard_ms = seen.map_or(self.started_ms, |s| s.heard_ms.max(self.started_ms));
-        let heard = now_ms.saturating_sub(heard_ms) < settings.failed_after_ms;
+        let recent = now_ms.saturating_sub(heard_ms) < settings.failed_after_ms;
         let unhealthy = seen.is_some_and(|s| s.sick || s.report.standing == Standing::Leaving);
-        heard && !unhealthy
+        recent && !unhealthy
     }
 
     fn count_flap(&mut self, now_ms: u64, name: &InstanceName) {
