--- a/src/link/admission.rs
+++ b/src/link/admission.rs
@@ -1,14 +1,15 @@
-//! Which incoming connections a listener keeps.
+//! Admission control for the incoming connections of a listener.
 //!
-//! Pattern of load: hundreds of clients connect at once, all after a power loss or at the
-//! first start, or again and again behind a cut that leaves their old connections half
-//! open. First come, first served would let them take every place: replicas could not
-//! reach each other, no leader would be elected, and nothing would be served.
+//! Hundreds of clients may connect at once, after a power loss or at the first start, or
+//! reconnect repeatedly behind a network partition that leaves their old connections half
+//! open. If slots were assigned in order of arrival, clients could take all of them:
+//! replicas could not reach each other, no leader would be elected, and nothing would be
+//! served.
 //!
-//! So a connection counts as unproved until its first frame is verified, and the oldest of
-//! these makes room for a new one. A proved peer has one link: a newer one replaces it. When
-//! all places are taken a client is refused, while a replica takes the place of the client
-//! that was there for longest.
+//! A connection is therefore unauthenticated until its first frame is verified, and the
+//! oldest unauthenticated connection is evicted in favor of a new one. An authenticated peer
+//! has one link, which a newer one replaces. When all slots are taken, a client is refused,
+//! while a replica evicts the client with the oldest link.
 
 use std::collections::BTreeMap;
 
@@ -16,29 +17,29 @@
 use crate::model::EntryName;
 use crate::places::{Place, Places};
 
-/// Why a connection is not kept.
+/// Reason why a connection is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Refusal {
-    /// All places are taken.
-    #[display("all places are taken")]
+    /// All slots are taken.
+    #[display("all slots are taken")]
     Full,
-    /// Its place went to a newer connection before it was proved.
-    #[display("it took too long to prove itself")]
+    /// A newer connection evicted it before it was authenticated.
+    #[display("evicted before it was authenticated")]
     Evicted,
 }
 
 /// The connections of a listener. Dropping a handle `H` closes its connection.
 #[derive(Debug)]
 pub struct Admission<H> {
-    unproved_max: usize,
+    max_unauthenticated: usize,
     places: Places,
     last_id: u64,
-    unproved: BTreeMap<u64, H>,
-    proved: BTreeMap<EntryName, Proved<H>>,
+    unauthenticated: BTreeMap<u64, H>,
+    authenticated: BTreeMap<EntryName, AuthenticatedLink<H>>,
 }
 
 #[derive(Debug)]
-struct Proved<H> {
+struct AuthenticatedLink<H> {
     id: u64,
     class: PeerClass,
     handle: H,
@@ -46,87 +47,92 @@
 }
 
 impl<H> Admission<H> {
-    /// Without any connection: at most so many unproved ones, and places for the others.
-    pub fn new(unproved_max: usize, places: Places) -> Self {
+    /// Returns an admission control without connections. It allows `max_unauthenticated`
+    /// unauthenticated connections and one authenticated link for each of `places`.
+    pub fn new(max_unauthenticated: usize, places: Places) -> Self {
         Self {
-            unproved_max,
+            max_unauthenticated,
             places,
             last_id: 0,
-            unproved: BTreeMap::new(),
-            proved: BTreeMap::new(),
+            unauthenticated: BTreeMap::new(),
+            authenticated: BTreeMap::new(),
         }
     }
 
-    /// Links of proved peers.
-    pub fn proved(&self) -> usize {
-        self.proved.len()
+    /// Returns the number of links of authenticated peers.
+    pub fn authenticated(&self) -> usize {
+        self.authenticated.len()
     }
 
-    /// A connection arrives: its number, and the one that makes room for it.
-    pub fn arrive(&mut self, handle: H) -> (u64, Option<H>) {
+    /// Registers a new connection. Returns its id and the connection that it evicts, if any.
+    pub fn register(&mut self, handle: H) -> (u64, Option<H>) {
         self.last_id += 1;
-        let evicted = match self.unproved.len() >= self.unproved_max {
-            true => self.unproved.pop_first().map(|(_, handle)| handle),
+        let evicted = match self.unauthenticated.len() >= self.max_unauthenticated {
+            true => self.unauthenticated.pop_first().map(|(_, handle)| handle),
             false => None,
         };
-        self.unproved.insert(self.last_id, handle);
+        self.unauthenticated.insert(self.last_id, handle);
         (self.last_id, evicted)
     }
 
-    /// A connection has proved whose it is: the one that makes room for it.
+    /// Admits a connection as the link of an authenticated peer. Returns the connection that
+    /// it replaces or evicts, if any.
     ///
     /// # Errors
-    /// It is not kept.
-    pub fn prove(
+    /// The connection was evicted before, or all slots are taken.
+    pub fn admit(
         &mut self,
         id: u64,
         name: &EntryName,
         class: PeerClass,
     ) -> Result<Option<H>, Refusal> {
-        let handle = self.unproved.remove(&id).ok_or(Refusal::Evicted)?;
-        let (place, closed) = self.room(name, class).ok_or(Refusal::Full)?;
-        let proved = Proved {
+        let handle = self.unauthenticated.remove(&id).ok_or(Refusal::Evicted)?;
+        let (place, closed) = self.reserve(name, class).ok_or(Refusal::Full)?;
+        let link = AuthenticatedLink {
             id,
             class,
             handle,
             place,
         };
-        self.proved.insert(name.clone(), proved);
+        self.authenticated.insert(name.clone(), link);
         Ok(closed)
     }
 
-    /// A place for a link of this peer, and the link whose place it was.
-    fn room(&mut self, name: &EntryName, class: PeerClass) -> Option<(Place, Option<H>)> {
-        if let Some(older) = self.proved.remove(name) {
+    /// Returns a slot for a link of this peer and the link that held it before, if any.
+    fn reserve(&mut self, name: &EntryName, class: PeerClass) -> Option<(Place, Option<H>)> {
+        if let Some(older) = self.authenticated.remove(name) {
             return Some((older.place, Some(older.handle)));
         }
         if let Some(place) = self.places.try_take() {
             return Some((place, None));
         }
-        let victim = self.victim(class)?;
-        let victim = self.proved.remove(&victim)?;
-        Some((victim.place, Some(victim.handle)))
+        let candidate = self.eviction_candidate(class)?;
+        let evicted = self.authenticated.remove(&candidate)?;
+        Some((evicted.place, Some(evicted.handle)))
     }
 
-    /// A connection has ended.
-    pub fn leave(&mut self, id: u64, name: Option<&EntryName>) {
-        self.unproved.remove(&id);
+    /// Removes a connection that has ended.
+    pub fn remove(&mut self, id: u64, name: Option<&EntryName>) {
+        self.unauthenticated.remove(&id);
         if let Some(name) = name
-            && self.proved.get(name).is_some_and(|proved| proved.id == id)
+            && self
+                .authenticated
+                .get(name)
+                .is_some_and(|link| link.id == id)
         {
-            self.proved.remove(name);
+            self.authenticated.remove(name);
         }
     }
 
-    /// Whose link makes room for one of this class.
-    fn victim(&self, class: PeerClass) -> Option<EntryName> {
+    /// Returns the peer whose link is evicted for a link of this class, if any.
+    fn eviction_candidate(&self, class: PeerClass) -> Option<EntryName> {
         if class == PeerClass::Client {
             return None;
         }
-        let clients = self.proved.iter();
-        let clients = clients.filter(|(_, proved)| proved.class == PeerClass::Client);
+        let clients = self.authenticated.iter();
+        let clients = clients.filter(|(_, link)| link.class == PeerClass::Client);
         clients
-            .min_by_key(|(_, proved)| proved.id)
+            .min_by_key(|(_, link)| link.id)
             .map(|(name, _)| name.clone())
     }
 }
--- a/src/link/error.rs
+++ b/src/link/error.rs
@@ -1,4 +1,4 @@
-/// What can go wrong on a link.
+/// Error on a link.
 #[derive(Debug, derive_more::Display, derive_more::Error, derive_more::From)]
 pub enum LinkError {
     /// The socket failed.
@@ -7,30 +7,30 @@
     /// The h2 connection failed.
     #[display("h2: {_0}")]
     H2(h2::Error),
-    /// The peer did not prove the shared key.
-    #[display("peer did not prove the shared key")]
+    /// A MAC is wrong, or the peer's name is unknown.
+    #[display("peer failed authentication; check that both sides use the same key")]
     #[from(skip)]
-    Unproved,
-    /// The peer keeps no more links.
+    Unauthenticated,
+    /// The peer has no free slot for another link.
     #[display("peer has no room for another link")]
     #[from(skip)]
     Refused,
-    /// A frame is larger than allowed.
+    /// A frame exceeds the size limit. Holds its size in bytes.
     #[display("frame of {_0} bytes is over the limit")]
     #[from(skip)]
     TooLarge(#[error(not(source))] usize),
     /// A frame cannot be decoded.
     #[display("{_0}")]
     Codec(crate::codec::CodecError),
-    /// The peer did not answer in time.
+    /// The peer did not respond in time.
     #[display("peer was silent for too long")]
     #[from(skip)]
     Silent,
-    /// The peer spoke another protocol.
-    #[display("peer answered against the protocol")]
+    /// The peer violated the protocol.
+    #[display("peer violated the link protocol")]
     #[from(skip)]
     Protocol,
-    /// The stream ended.
+    /// The peer ended the stream.
     #[display("stream ended")]
     #[from(skip)]
     Ended,
--- a/src/link/limits.rs
+++ b/src/link/limits.rs
@@ -1,21 +1,22 @@
-/// How many connections there may be beside the links of proved peers.
+/// Limits on the connections other than incoming links of authenticated peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkLimits {
-    /// Incoming connections that have not proved who they are.
+    /// Maximum number of incoming connections that are not authenticated yet.
     pub unproved: usize,
-    /// Links opened from here.
+    /// Maximum number of links that this instance opens.
     pub outgoing: usize,
 }
 
 impl LinkLimits {
-    /// Limits that fit a fixed list of peers.
+    /// Returns limits that suit a fixed list of `peers` peers.
     pub fn for_peers(peers: usize) -> Self {
         Self {
-            unproved: peers.max(UNPROVED_LEAST),
+            unproved: peers.max(MIN_UNAUTHENTICATED),
             outgoing: peers,
         }
     }
 }
 
-/// Unproved connections beside a short list of peers, which may connect several times.
-const UNPROVED_LEAST: usize = 64;
+/// Lower bound on `unproved` for a short list of peers, each of which may connect several
+/// times.
+const MIN_UNAUTHENTICATED: usize = 64;
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -1,14 +1,15 @@
-//! Links between entry instances: h2 streams, frames in bincode.
+//! Links between instances: HTTP/2 streams that carry frames encoded with bincode.
 //!
-//! A replica's link carries one direction; on a client's link answers come back as well.
-//! The sender connects, asks for a stream and is given a nonce; every frame then carries a
-//! MAC over that nonce, its place in the stream, the sender and the receiver, so that a
-//! frame cannot be forged, replayed, left out or sent on to another. The MAC is checked
-//! before anything is decoded, and frames are bounded in size. The first frame tells what
-//! the sender takes part in, and whether the link is kept is up to [`Admission`].
+//! A replica's link is unidirectional; a client's link also carries the answers back.
+//! The sender connects, opens a stream and receives a nonce. Every frame then carries a
+//! MAC over that nonce, its sequence number in the stream, the sender and the receiver, so
+//! that a frame cannot be forged, replayed, omitted or forwarded to another instance. The
+//! MAC is verified before anything is decoded, and the size of a frame is bounded. The
+//! first frame states the sender's [`PeerClass`]; [`Admission`] then decides whether the
+//! link is kept.
 //!
-//! A link may lose frames: when its queue is full, when the connection ends, and
-//! when a PING is not answered in time. What needs more asks again.
+//! Delivery is best effort. Frames are lost when a queue is full, when the connection ends
+//! and when a PING is not answered in time. Protocols that need delivery have to retry.
 
 mod admission;
 mod error;
--- a/src/link/peer_class.rs
+++ b/src/link/peer_class.rs
@@ -1,12 +1,12 @@
 use serde::{Deserialize, Serialize};
 
-/// What a peer takes part in.
+/// Role of a peer on a link, which decides its priority in [`Admission`](super::Admission).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 pub enum PeerClass {
-    /// Keeps the log: without links among these nothing works.
+    /// Stores the replicated log. Without links between replicas there is no leader.
     #[display("replica")]
     Replica,
-    /// Only makes calls. Answers come back on the link that it opened.
+    /// Only sends requests. Answers come back on the link that it opened.
     #[display("client")]
     Client,
 }
--- a/src/link/peer_key.rs
+++ b/src/link/peer_key.rs
@@ -5,12 +5,12 @@
 
 use super::LinkError;
 
-/// Bytes of a MAC.
+/// Length of a MAC.
 pub const MAC_BYTES: usize = 32;
-/// Bytes of a stream's nonce.
+/// Length of a stream's nonce.
 pub const NONCE_BYTES: usize = 16;
 
-/// The key that all entry instances share.
+/// The MAC key that all instances share.
 #[derive(Clone)]
 pub struct PeerKey(Vec<u8>);
 
@@ -26,21 +26,22 @@
     }
 }
 
-/// Where a frame belongs.
+/// Identifies a frame's position: its stream, direction and sequence number.
+/// The MAC covers it together with the payload.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct FrameContext {
     /// The stream's nonce, chosen by the receiver.
     pub nonce: [u8; NONCE_BYTES],
-    /// Who sends.
+    /// Name of the sender.
     pub from: EntryName,
-    /// Who receives.
+    /// Name of the receiver.
     pub to: EntryName,
-    /// Counts the frames of the stream, from 0.
+    /// Sequence number of the frame in its direction of the stream, from 0.
     pub sequence: u64,
 }
 
-impl Place {
-    /// The start of the other direction of the same stream.
+impl FrameContext {
+    /// Returns the context of the first frame in the opposite direction of the same stream.
     pub fn reversed(&self) -> Self {
         Self {
             nonce: self.nonce,
@@ -52,27 +53,32 @@
 }
 
 impl PeerKey {
-    /// The MAC of a payload at its place.
-    pub fn sign(&self, place: &Place, payload: &[u8]) -> [u8; MAC_BYTES] {
-        self.mac(place, payload).finalize().into_bytes().into()
+    /// Returns the MAC of a payload in its context.
+    pub fn sign(&self, context: &FrameContext, payload: &[u8]) -> [u8; MAC_BYTES] {
+        self.mac(context, payload).finalize().into_bytes().into()
     }
 
-    /// Checks a MAC in constant time.
+    /// Verifies a MAC in constant time.
     ///
     /// # Errors
-    /// [`LinkError::Unproved`] if it is not the payload's at this place.
-    pub fn verify(&self, place: &Place, payload: &[u8], tag: &[u8]) -> Result<(), LinkError> {
-        self.mac(place, payload)
+    /// [`LinkError::Unauthenticated`] if the MAC does not match payload and context.
+    pub fn verify(
+        &self,
+        context: &FrameContext,
+        payload: &[u8],
+        tag: &[u8],
+    ) -> Result<(), LinkError> {
+        self.mac(context, payload)
             .verify_slice(tag)
-            .map_err(|_| LinkError::Unproved)
+            .map_err(|_| LinkError::Unauthenticated)
     }
 
-    fn mac(&self, place: &Place, payload: &[u8]) -> Hmac<Sha256> {
+    fn mac(&self, context: &FrameContext, payload: &[u8]) -> Hmac<Sha256> {
         let mut mac =
-            Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC takes a key of any length");
-        mac.update(&place.nonce);
-        mac.update(&place.sequence.to_be_bytes());
-        for name in [&place.from, &place.to] {
+            Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC accepts a key of any length");
+        mac.update(&context.nonce);
+        mac.update(&context.sequence.to_be_bytes());
+        for name in [&context.from, &context.to] {
             mac.update(&(name.as_str().len() as u64).to_be_bytes());
             mac.update(name.as_str().as_bytes());
         }
--- a/src/link/queues.rs
+++ b/src/link/queues.rs
@@ -5,30 +5,31 @@
 
 use crate::model::EntryName;
 
-/// Frames that may wait for one peer. More means that the peer does not keep up
-/// or is cut off, and what is waiting is old.
-const QUEUE_FRAMES: usize = 1024;
+/// Maximum number of frames queued for one peer. A longer queue means that the peer is
+/// too slow or unreachable, and that the queued frames are out of date.
+const MAX_QUEUED_FRAMES: usize = 1024;
 
-/// An encoded frame.
+/// An encoded message that waits to be sent.
 pub(super) type Frame = Vec<u8>;
 
-/// Where frames for each peer wait to be sent.
+/// The send queues, one for each peer that has a link.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queues(Arc<Mutex<BTreeMap<EntryName, Queue>>>);
 
 #[derive(Debug)]
 struct Queue {
     frames: mpsc::Sender<Frame>,
-    /// The incoming connection that they leave by; none for a link opened from here.
-    accepted: Option<u64>,
+    /// Id of the incoming connection that the frames are sent on, or `None` for a link that
+    /// this instance opened.
+    connection_id: Option<u64>,
 }
 
-/// What became of a frame.
+/// Result of queueing a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Queued {
-    /// It waits for its turn.
-    Waits,
-    /// Too many wait already.
+pub(super) enum PushOutcome {
+    /// The frame is queued.
+    Accepted,
+    /// The queue is full.
     Full,
     /// There is no link to the peer.
     NoLink,
@@ -36,66 +37,87 @@
 
 impl Queues {
     /// Queues a frame if there is a link to the peer.
-    pub fn push(&self, to: &EntryName, frame: Frame) -> Queued {
+    pub fn push(&self, to: &EntryName, frame: Frame) -> PushOutcome {
         let queues = self.lock();
         let Some(queue) = queues.get(to) else {
-            return Queued::NoLink;
+            return PushOutcome::NoLink;
         };
         match queue.frames.try_send(frame) {
-            Ok(()) => Queued::Waits,
-            Err(mpsc::error::TrySendError::Full(_)) => Queued::Full,
-            Err(mpsc::error::TrySendError::Closed(_)) => Queued::NoLink,
+            Ok(()) => PushOutcome::Accepted,
+            Err(mpsc::error::TrySendError::Full(_)) => PushOutcome::Full,
+            Err(mpsc::error::TrySendError::Closed(_)) => PushOutcome::NoLink,
         }
     }
 
-    /// Whether there is a link to the peer, or one that is coming up.
-    pub fn has(&self, to: &EntryName) -> bool {
+    /// Returns whether there is a link to the peer, established or connecting.
+    pub fn has_link(&self, to: &EntryName) -> bool {
         let queues = self.lock();
         queues.get(to).is_some_and(|q| !q.frames.is_closed())
     }
 
-    /// A queue for a link that is opened from here; none if there are `limit` of these.
-    pub fn open(&self, to: &EntryName, limit: usize) -> Option<mpsc::Receiver<Frame>> {
+    /// Creates the queue of an outgoing link. Returns `None` if `limit` outgoing links exist.
+    pub fn open_outgoing(&self, to: &EntryName, limit: usize) -> Option<mpsc::Receiver<Frame>> {
         let mut queues = self.lock();
         queues.retain(|_, queue| !queue.frames.is_closed());
-        if queues.values().filter(|q| q.accepted.is_none()).count() >= limit {
+        if queues
+            .values()
+            .filter(|q| q.connection_id.is_none())
+            .count()
+            >= limit
+        {
             return None;
         }
-        let (frames, queued) = mpsc::channel(QUEUE_FRAMES);
-        let accepted = None;
-        queues.insert(to.clone(), Queue { frames, accepted });
+        let (frames, queued) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let connection_id = None;
+        queues.insert(
+            to.clone(),
+            Queue {
+                frames,
+                connection_id,
+            },
+        );
         Some(queued)
     }
 
-    /// A queue for what goes back on an incoming link, which is used from now on.
-    pub fn accepted(&self, from: &EntryName, id: u64) -> mpsc::Receiver<Frame> {
-        let (frames, queued) = mpsc::channel(QUEUE_FRAMES);
-        let accepted = Some(id);
-        self.lock().insert(from.clone(), Queue { frames, accepted });
+    /// Creates the queue for frames sent back on an incoming link. It replaces the peer's
+    /// previous queue.
+    pub fn open_incoming(&self, from: &EntryName, id: u64) -> mpsc::Receiver<Frame> {
+        let (frames, queued) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let connection_id = Some(id);
+        self.lock().insert(
+            from.clone(),
+            Queue {
+                frames,
+                connection_id,
+            },
+        );
         queued
     }
 
-    /// An incoming link is over.
-    pub fn ended(&self, from: &EntryName, id: u64) {
+    /// Removes the queue of an incoming link that ended, unless a newer one replaced it.
+    pub fn close_incoming(&self, from: &EntryName, id: u64) {
         let mut queues = self.lock();
-        if queues.get(from).is_some_and(|q| q.accepted == Some(id)) {
+        if queues
+            .get(from)
+            .is_some_and(|q| q.connection_id == Some(id))
+        {
             queues.remove(from);
         }
     }
 
-    /// How many links are opened from here.
-    pub fn outgoing(&self) -> usize {
+    /// Returns the number of links that this instance opened.
+    pub fn outgoing_count(&self) -> usize {
         let queues = self.lock();
-        let outgoing = queues.values().filter(|q| q.accepted.is_none());
+        let outgoing = queues.values().filter(|q| q.connection_id.is_none());
         outgoing.filter(|q| !q.frames.is_closed()).count()
     }
 
-    /// Closes all.
-    pub fn close(&self) {
+    /// Closes all queues.
+    pub fn close_all(&self) {
         self.lock().clear();
     }
 
-    /// A panic elsewhere leaves the map whole: each change is one step.
+    /// Locks the map. A poisoned lock is safe to use because each change is a single step.
     fn lock(&self) -> MutexGuard<'_, BTreeMap<EntryName, Queue>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/src/link/receiver.rs
+++ b/src/link/receiver.rs
@@ -10,31 +10,31 @@
 
 use super::admission::{Admission, Refusal};
 use super::introduction::{Introduction, Verdict};
-use super::peer_key::Place;
+use super::peer_key::FrameContext;
 use super::queues::{Frame, Queues};
 use super::runtime::{LinksConfig, Sink};
-use super::stream::{FrameReader, FrameWriter, batch};
+use super::stream::{FrameReader, FrameWriter, collect_batch};
 use super::{LinkError, LinkEvent, LinkStats, PeerClass};
 use crate::model::EntryName;
 
-/// How long a link may be silent: the sender pings about three times in this time, and
-/// closes what it does not use before.
-const SILENCE: Duration = Duration::from_secs(3);
-/// How long a connection may take to prove whose it is. Longer than the other side waits.
-const PROOF_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long the answer to a refused link may take to leave.
-const FAREWELL: Duration = Duration::from_millis(200);
-/// What short DATA frames that were not read yet may cost beyond their bytes. The window
-/// bounds how many there can be, each by 256 bytes at most; with the library's own limit some
-/// 200 of them, which a busy process finds at once, would end the link.
-pub(super) const FRAME_OVERHEAD_BYTES: usize = 1 << 20;
-/// Pause after the system gave no connection, most likely for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Time without a frame after which an incoming link is closed. It is longer than the
+/// sender's idle timeout, so that the sender closes an unused link first.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout for the authentication of a connection. It is longer than the peer waits.
+const AUTHENTICATION_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time to wait until the answer to a refused link is flushed.
+const REFUSAL_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Budget of h2 for the overhead of short DATA frames that have not been read yet. The flow
+/// control window bounds their number, and each costs at most 256 bytes. With the default of
+/// h2, some 200 short frames, which a busy process may find at once, would end the link.
+pub(super) const DATA_FRAME_BUDGET_BYTES: usize = 1 << 20;
+/// Delay after a failed accept, which is most likely due to a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Closes an incoming connection when it is dropped.
 type Handle = oneshot::Sender<()>;
 
-/// Takes links of all peers and hands their frames to the sink.
+/// Accepts links from all peers and passes their frames to the sink.
 pub(super) struct Receiver<F> {
     conf: LinksConfig,
     sink: Sink<F>,
@@ -43,8 +43,8 @@
     admission: Mutex<Admission<Handle>>,
 }
 
-/// A connection whose peer is proved.
-struct Proved {
+/// A connection whose peer is authenticated.
+struct AuthenticatedPeer {
     from: EntryName,
     class: PeerClass,
     reader: FrameReader,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Runs until it is dropped.
+    /// Accepts connections until the future is dropped.
     pub async fn run(self, listener: TcpListener) {
         let receiver = Arc::new(self);
         loop {
@@ -75,7 +75,7 @@
                 }
                 Err(err) => {
                     tracing::warn!("link: accept failed: {err}");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -83,28 +83,28 @@
 
     async fn connection(&self, stream: TcpStream) {
         let (handle, closed) = oneshot::channel();
-        let (id, evicted) = self.admission().arrive(handle);
+        let (id, evicted) = self.admission().register(handle);
         if evicted.is_some() {
-            self.stats.count(LinkEvent::Evicted);
-            tracing::debug!("link: an unproved connection makes room");
+            self.stats.increment(LinkEvent::Evicted);
+            tracing::debug!("link: an unauthenticated connection was evicted");
         }
         drop(evicted);
         let mut from = None;
         let ended = tokio::select! {
-            // Another connection has its place now.
+            // Another connection has taken its slot.
             _ = closed => Ok(()),
             ended = self.session(stream, id, &mut from) => ended,
         };
         if let Err(err) = ended {
-            if matches!(err, LinkError::Unproved) {
-                self.stats.count(LinkEvent::Unproved);
+            if matches!(err, LinkError::Unauthenticated) {
+                self.stats.increment(LinkEvent::Unauthenticated);
             }
             tracing::debug!(
                 from = from.as_ref().map(EntryName::as_str),
-                "link: incoming ended: {err}"
+                "link: incoming connection ended: {err}"
             );
         }
-        self.forget(id, from.as_ref());
+        self.release(id, from.as_ref());
     }
 
     async fn session(
@@ -116,22 +116,23 @@
         stream.set_nodelay(true)?;
         let first = async {
             let mut builder = server::Builder::new();
-            builder.data_frame_budget(FRAME_OVERHEAD_BYTES);
+            builder.data_frame_budget(DATA_FRAME_BUDGET_BYTES);
             let mut connection = builder.handshake(stream).await?;
             let accepted = connection.accept().await.ok_or(LinkError::Ended)??;
             Ok::<_, LinkError>((connection, accepted))
         };
-        let (mut connection, (request, respond)) = within(PROOF_TIMEOUT, first).await?;
+        let (mut connection, (request, respond)) =
+            with_timeout(AUTHENTICATION_TIMEOUT, first).await?;
         let served = tokio::select! {
-            // Drives the connection; no second stream is ever taken.
+            // Drives the connection. Further streams are ignored.
             _ = async { while let Some(Ok(_)) = connection.accept().await {} } => Err(LinkError::Ended),
             served = self.serve(request, respond, id, from) => served,
         };
         if let Err(LinkError::Refused) = served {
             connection.graceful_shutdown();
             let closed = std::future::poll_fn(|cx| connection.poll_closed(cx));
-            // It is refused either way; the other side may have gone.
-            let _ = timeout(FAREWELL, closed).await;
+            // The link is refused in any case, and the peer may have disconnected.
+            let _ = timeout(REFUSAL_FLUSH_TIMEOUT, closed).await;
         }
         served
     }
@@ -143,51 +144,52 @@
         id: u64,
         from: &mut Option<EntryName>,
     ) -> Result<(), LinkError> {
-        let mut proved = within(PROOF_TIMEOUT, self.prove(request, respond)).await?;
-        *from = Some(proved.from.clone());
-        self.admit(id, &mut proved).await?;
-        let Proved {
+        let mut peer =
+            with_timeout(AUTHENTICATION_TIMEOUT, self.authenticate(request, respond)).await?;
+        *from = Some(peer.from.clone());
+        self.admit(id, &mut peer).await?;
+        let AuthenticatedPeer {
             from,
             class,
             reader,
             writer,
-        } = proved;
+        } = peer;
         if class == PeerClass::Replica {
             return self.read(&from, reader).await;
         }
-        let replies = self.queues.accepted(&from, id);
+        let replies = self.queues.open_incoming(&from, id);
         tokio::select! {
             read = self.read(&from, reader) => read,
             written = write(writer, replies) => written,
         }
     }
 
-    /// Reads the first frame, which proves the name that the request gives.
-    async fn prove(
+    /// Reads the first frame, whose MAC authenticates the name in the request.
+    async fn authenticate(
         &self,
         request: http::Request<RecvStream>,
         mut respond: SendResponse<bytes::Bytes>,
-    ) -> Result<Proved, LinkError> {
+    ) -> Result<AuthenticatedPeer, LinkError> {
         let from = self
             .conf
-            .member(request.headers().get("rg-from"))
-            .ok_or(LinkError::Unproved)?;
+            .peer_from_header(request.headers().get("rg-from"))
+            .ok_or(LinkError::Unauthenticated)?;
         let nonce: u128 = rand::random();
         let response = http::Response::builder()
             .header("rg-nonce", format!("{nonce:032x}"))
             .body(())
             .map_err(|_| LinkError::Protocol)?;
         let answers = respond.send_response(response, false)?;
-        let place = Place {
+        let context = FrameContext {
             nonce: nonce.to_be_bytes(),
             from: from.clone(),
             to: self.conf.me.clone(),
             sequence: 0,
         };
-        let writer = FrameWriter::new(answers, self.conf.key.clone(), place.reversed());
-        let mut reader = FrameReader::new(request.into_body(), self.conf.key.clone(), place);
+        let writer = FrameWriter::new(answers, self.conf.key.clone(), context.reversed());
+        let mut reader = FrameReader::new(request.into_body(), self.conf.key.clone(), context);
         let introduction = crate::codec::decode::<Introduction>(&reader.next().await?)?;
-        Ok(Proved {
+        Ok(AuthenticatedPeer {
             from,
             class: introduction.class,
             reader,
@@ -195,12 +197,12 @@
         })
     }
 
-    /// Gives a proved link its place, or says that there is none.
-    async fn admit(&self, id: u64, proved: &mut Proved) -> Result<(), LinkError> {
+    /// Admits the link of an authenticated peer, or tells the peer that it is refused.
+    async fn admit(&self, id: u64, peer: &mut AuthenticatedPeer) -> Result<(), LinkError> {
         let (admitted, links) = {
             let mut admission = self.admission();
-            let admitted = admission.prove(id, &proved.from, proved.class);
-            (admitted, admission.proved())
+            let admitted = admission.admit(id, &peer.from, peer.class);
+            (admitted, admission.authenticated())
         };
         self.stats.set_incoming(links);
         let verdict = match &admitted {
@@ -208,21 +210,18 @@
             Err(Refusal::Evicted) => return Err(LinkError::Ended),
             Err(Refusal::Full) => Verdict::Full,
         };
-        // Closes the connection that made room.
+        // Closes the connection that was replaced or evicted.
         drop(admitted);
-        proved
-            .writer
-            .send(&[crate::codec::encode(&verdict)])
-            .await?;
+        peer.writer.send(&[crate::codec::encode(&verdict)]).await?;
         match verdict {
             Verdict::Admitted => {
-                self.stats.count(LinkEvent::Admitted);
+                self.stats.increment(LinkEvent::Admitted);
                 Ok(())
             }
             Verdict::Full => {
-                self.stats.count(LinkEvent::Refused);
+                self.stats.increment(LinkEvent::Refused);
                 tracing::info!(
-                    from = %proved.from, class = %proved.class, links, "link: refused, all places are taken"
+                    from = %peer.from, class = %peer.class, links, "link: refused, all places are taken"
                 );
                 Err(LinkError::Refused)
             }
@@ -231,7 +230,7 @@
 
     async fn read(&self, from: &EntryName, mut reader: FrameReader) -> Result<(), LinkError> {
         loop {
-            let payload = within(SILENCE, reader.next()).await?;
+            let payload = with_timeout(RECEIVE_TIMEOUT, reader.next()).await?;
             let frame = crate::codec::decode::<F>(&payload)?;
             if !(self.sink)(from.clone(), frame) {
                 return Ok(());
@@ -239,19 +238,21 @@
         }
     }
 
-    fn forget(&self, id: u64, from: Option<&EntryName>) {
+    /// Releases what an ended connection held.
+    fn release(&self, id: u64, from: Option<&EntryName>) {
         let links = {
             let mut admission = self.admission();
-            admission.leave(id, from);
-            admission.proved()
+            admission.remove(id, from);
+            admission.authenticated()
         };
         self.stats.set_incoming(links);
         if let Some(from) = from {
-            self.queues.ended(from, id);
+            self.queues.close_incoming(from, id);
         }
     }
 
-    /// A panic elsewhere leaves the maps whole: each change is one step.
+    /// Locks the admission state. A poisoned lock is safe to use because each change is a
+    /// single step.
     fn admission(&self) -> MutexGuard<'_, Admission<Handle>> {
         self.admission
             .lock()
@@ -259,16 +260,16 @@
     }
 }
 
-/// Sends what is queued until the queue is closed.
+/// Sends queued messages until the queue is closed.
 async fn write(mut writer: FrameWriter, mut queue: mpsc::Receiver<Frame>) -> Result<(), LinkError> {
     while let Some(message) = queue.recv().await {
-        writer.send(&batch(message, &mut queue)).await?;
+        writer.send(&collect_batch(message, &mut queue)).await?;
     }
     writer.finish()
 }
 
-/// Waits no longer than this.
-pub(super) async fn within<T>(
+/// Runs `work` and returns [`LinkError::Silent`] if it takes longer than `limit`.
+pub(super) async fn with_timeout<T>(
     limit: Duration,
     work: impl Future<Output = Result<T, LinkError>>,
 ) -> Result<T, LinkError> {
--- a/src/link/runtime.rs
+++ b/src/link/runtime.rs
@@ -8,30 +8,30 @@
 use tokio::runtime::Handle;
 use tokio::sync::oneshot;
 
-use super::queues::{Queued, Queues};
+use super::queues::{PushOutcome, Queues};
 use super::receiver::Receiver;
 use super::sender::Sender;
 use super::{LinkError, LinkEvent, LinkLimits, LinkStats, PeerClass, PeerKey};
 use crate::model::EntryName;
 use crate::places::Places;
 
-/// Takes proved frames; `false` when it wants no more.
+/// Receives authenticated frames. Returns `false` to receive no more.
 pub(super) type Sink<F> = Arc<dyn Fn(EntryName, F) -> bool + Send + Sync>;
 
-/// Who may connect, and where everyone takes links.
+/// The peers that may connect, and the addresses of their listeners.
 #[derive(Clone, Debug)]
 pub enum Directory {
-    /// All other entry instances and where they take links.
+    /// A fixed list of all other instances and their listeners.
     Listed(BTreeMap<EntryName, SocketAddr>),
-    /// Everyone's name is its IP address; all take links at this port.
+    /// Every instance is named by its IP address and listens on the same port.
     ByAddress {
-        /// The port.
+        /// Port of every instance's listener.
         port: u16,
     },
 }
 
 impl Directory {
-    /// Where a peer takes links.
+    /// Returns the address of a peer's listener.
     fn address(&self, peer: &EntryName) -> Option<SocketAddr> {
         match self {
             Self::Listed(peers) => peers.get(peer).copied(),
@@ -40,40 +40,40 @@
     }
 }
 
-/// What links need to know.
+/// Configuration of an instance's links.
 #[derive(Clone, Debug)]
 pub struct LinksConfig {
-    /// This entry instance.
+    /// Name of this instance.
     pub me: EntryName,
-    /// The shared key.
+    /// The key that all instances share.
     pub key: PeerKey,
-    /// The others.
+    /// The other instances.
     pub peers: Directory,
-    /// What this instance takes part in.
+    /// Class of this instance.
     pub class: PeerClass,
-    /// How many connections there may be beside incoming links.
+    /// Limits on the connections other than incoming links.
     pub limits: LinkLimits,
-    /// Places for incoming links.
+    /// Slots for incoming links.
     pub places: Places,
 }
 
 impl LinksConfig {
-    /// The peer that a header names, if there may be such a peer.
-    pub(super) fn member(&self, header: Option<&http::HeaderValue>) -> Option<EntryName> {
+    /// Returns the peer that a header names, if the directory allows it.
+    pub(super) fn peer_from_header(&self, header: Option<&http::HeaderValue>) -> Option<EntryName> {
         let name = EntryName::from(header?.to_str().ok()?);
         self.peers.address(&name).is_some().then_some(name)
     }
 
-    /// Whether peers are found by their address. A link to such a peer is closed when it is
-    /// not used, and given up when it does not come up; one to a listed peer never is.
-    pub(super) fn found_by_address(&self) -> bool {
+    /// Returns whether peers are named by their address. A link to such a peer is closed when
+    /// it is idle and abandoned when it does not come up; a link to a listed peer is kept.
+    pub(super) fn has_dynamic_peers(&self) -> bool {
         matches!(self.peers, Directory::ByAddress { .. })
     }
 }
 
-/// The links to and from all peers, in a thread of their own.
+/// The links to and from all peers, served by a dedicated thread.
 ///
-/// Dropping it closes the queues and ends the thread.
+/// Dropping it closes the queues and joins the thread.
 pub struct Links<F> {
     conf: LinksConfig,
     queues: Queues,
@@ -85,8 +85,8 @@
 }
 
 impl<F: Serialize + DeserializeOwned + Send + 'static> Links<F> {
-    /// Starts the links. `sink` gets every proved frame and returns `false` when
-    /// it wants no more.
+    /// Starts the links. `sink` gets every authenticated frame and returns `false` to receive
+    /// no more.
     ///
     /// # Errors
     /// The listener or the thread cannot be set up.
@@ -114,7 +114,7 @@
             .spawn(move || {
                 runtime.block_on(async move {
                     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
-                        tracing::error!("link: listener cannot be used");
+                        tracing::error!("link: the listener cannot be registered with the runtime");
                         return;
                     };
                     tokio::select! {
@@ -140,37 +140,37 @@
         Ok(links)
     }
 
-    /// What happened to the links so far.
+    /// Returns the metrics of the links.
     pub fn stats(&self) -> &LinkStats {
         &self.stats
     }
 
-    /// Queues a frame; it is lost if the peer's queue is full or no link can be opened.
+    /// Queues a frame. It is dropped if the peer's queue is full or no link can be opened.
     pub fn send(&self, to: &EntryName, frame: &F) {
-        if !self.queues.has(to) {
+        if !self.queues.has_link(to) {
             self.open(to);
         }
         match self.queues.push(to, crate::codec::encode(frame)) {
-            Queued::Waits => {}
-            lost @ (Queued::Full | Queued::NoLink) => {
-                self.stats.count(LinkEvent::FrameDropped);
-                tracing::debug!(%to, ?lost, "link: a frame is dropped");
+            PushOutcome::Accepted => {}
+            lost @ (PushOutcome::Full | PushOutcome::NoLink) => {
+                self.stats.increment(LinkEvent::FrameDropped);
+                tracing::debug!(%to, ?lost, "link: dropped a frame");
             }
         }
     }
 
-    /// Begins a link to a peer whose address is known.
+    /// Opens a link to a peer whose address is known.
     fn open(&self, peer: &EntryName) {
         let Some(address) = self.conf.peers.address(peer) else {
             return;
         };
-        let Some(queue) = self.queues.open(peer, self.conf.limits.outgoing) else {
-            self.stats.count(LinkEvent::NotOpened);
+        let Some(queue) = self.queues.open_outgoing(peer, self.conf.limits.outgoing) else {
+            self.stats.increment(LinkEvent::NotOpened);
             let limit = self.conf.limits.outgoing;
             tracing::info!(%peer, %address, limit, "link: not opened, all places are taken");
             return;
         };
-        self.stats.set_outgoing(self.queues.outgoing());
+        self.stats.set_outgoing(self.queues.outgoing_count());
         let sender = Sender {
             conf: self.conf.clone(),
             peer: peer.clone(),
@@ -184,10 +184,10 @@
 
 impl<F> Drop for Links<F> {
     fn drop(&mut self) {
-        self.queues.close();
+        self.queues.close_all();
         self.stop.take();
         if let Some(thread) = self.thread.take() {
-            // The thread only ends with the queues; a panic in it was logged.
+            // The result only tells of a panic, which was logged already.
             let _ = thread.join();
         }
     }
--- a/src/link/sender.rs
+++ b/src/link/sender.rs
@@ -11,45 +11,44 @@
 
 use super::introduction::{Introduction, Verdict};
 use super::outage::Outage;
-use super::peer_key::{NONCE_BYTES, Place};
+use super::peer_key::{FrameContext, NONCE_BYTES};
 use super::queues::Frame;
-use super::receiver::{FRAME_OVERHEAD_BYTES, within};
+use super::receiver::{DATA_FRAME_BUDGET_BYTES, with_timeout};
 use super::runtime::{LinksConfig, Sink};
-use super::stream::{FrameReader, FrameWriter, batch};
+use super::stream::{FrameReader, FrameWriter, collect_batch};
 use super::{LinkError, LinkEvent, LinkStats, PeerClass};
 use crate::model::EntryName;
 
-/// Bound on connecting: zones are about 1 ms apart.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Pause between two tries to connect; short, so that a cut that ends is noticed
-/// well before leases run out.
-const RETRY: Duration = Duration::from_millis(100);
-/// Longest pause after a peer has refused a link for want of room, drawn from this and
-/// the same again.
-const REFUSED_RETRY: Duration = Duration::from_millis(800);
-/// A peer found by its address that was not reached for this long is given up; the
-/// next frame for it begins anew. Else a machine that was removed would be called
-/// for ever.
-const GIVE_UP: Duration = Duration::from_secs(5);
-/// A link that carried nothing for so long is closed if the peer was found by its
-/// address; the next frame opens it again. Below what the receiver takes for silence.
-const IDLE: Duration = Duration::from_secs(2);
-/// How often the peer is asked for a sign of life. A connection that something
-/// in between has forgotten stays open and swallows everything; only a missing
-/// answer shows it.
-const PING_EVERY: Duration = Duration::from_millis(300);
-/// How long the answer may take before the connection is given up.
-const PING_DEADLINE: Duration = Duration::from_millis(600);
+/// Timeout for connecting. The round trip between zones is about 1 ms.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay between two connection attempts. It is short so that the end of a network partition
+/// is noticed well before leases expire.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// Minimum delay after a peer refused a link because its slots are taken. A random jitter of
+/// up to the same duration is added.
+const REFUSED_RECONNECT_DELAY: Duration = Duration::from_millis(800);
+/// Time without a link after which connection attempts to a peer named by its address stop
+/// until the next frame is sent to it. Otherwise attempts to reach a removed machine would
+/// never end.
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time without a frame after which a link to a peer named by its address is closed; the next
+/// frame opens it again. It has to be below the receiver's `RECEIVE_TIMEOUT`.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval of the keep-alive PINGs. A connection whose state a middlebox has lost stays open
+/// and drops all data silently; only a missing answer reveals it.
+const PING_INTERVAL: Duration = Duration::from_millis(300);
+/// Time to wait for the answer to a PING before the connection is closed.
+const PING_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Why a session ended in order.
-enum Ended {
+/// Reason for the regular end of a connection.
+enum SessionEnd {
     /// The queue was closed.
     Closed,
-    /// Nothing was sent for a while.
+    /// Nothing was sent for [`IDLE_TIMEOUT`].
     Idle,
 }
 
-/// A link to one peer.
+/// The sending side of a link to one peer.
 pub(super) struct Sender<F> {
     pub conf: LinksConfig,
     pub peer: EntryName,
@@ -59,42 +58,45 @@
 }
 
 impl<F: DeserializeOwned + Send + 'static> Sender<F> {
-    /// Sends frames for as long as `queue` is open.
+    /// Sends the frames of `queue`, reconnecting as needed, until the queue is closed or the
+    /// link is idle or abandoned.
     pub async fn run(self, mut queue: mpsc::Receiver<Frame>) {
         let mut outage = Outage::new(self.peer.clone(), self.address, Instant::now());
         loop {
-            let ended = self.session(&mut queue, &mut outage).await;
+            let ended = self.run_connection(&mut queue, &mut outage).await;
             let err = match ended {
-                Ok(Ended::Closed | Ended::Idle) => return,
+                Ok(SessionEnd::Closed | SessionEnd::Idle) => return,
                 Err(err) => err,
             };
-            self.stats.count(LinkEvent::Failed);
-            outage.failed(Instant::now(), &err);
-            if self.conf.found_by_address() && outage.lasted(Instant::now()) > GIVE_UP {
-                outage.given_up(Instant::now());
+            self.stats.increment(LinkEvent::Failed);
+            outage.record_failure(Instant::now(), &err);
+            if self.conf.has_dynamic_peers()
+                && outage.duration(Instant::now()) > UNREACHABLE_TIMEOUT
+            {
+                outage.log_abandoned(Instant::now());
                 return;
             }
-            // What was queued while the link was down is old: the log sends again
-            // what is missing, and gossip repeats itself.
+            // Frames that were queued while the link was down are out of date: the log
+            // resends what is missing, and gossip is repeated.
             while queue.try_recv().is_ok() {}
             if queue.is_closed() {
                 return;
             }
-            sleep(pause(&err)).await;
+            sleep(reconnect_delay(&err)).await;
         }
     }
 
-    /// One connection.
-    async fn session(
+    /// Connects once and transfers frames until the connection ends.
+    async fn run_connection(
         &self,
         queue: &mut mpsc::Receiver<Frame>,
         outage: &mut Outage,
-    ) -> Result<Ended, LinkError> {
-        let stream = timeout(CONNECT, TcpStream::connect(self.address))
+    ) -> Result<SessionEnd, LinkError> {
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address))
             .await
             .map_err(|_| LinkError::Silent)??;
         stream.set_nodelay(true)?;
-        let (client, mut connection) = timeout(CONNECT, connect(stream))
+        let (client, mut connection) = timeout(CONNECT_TIMEOUT, connect(stream))
             .await
             .map_err(|_| LinkError::Silent)??;
         let pings = connection.ping_pong().ok_or(LinkError::Protocol)?;
@@ -103,27 +105,28 @@
                 Ok(()) => Err(LinkError::Ended),
                 Err(err) => Err(err.into()),
             },
-            alive = keep_alive(pings) => alive.map(|()| Ended::Closed),
-            sent = self.carry(client, queue, outage) => sent,
+            alive = keep_alive(pings) => alive.map(|()| SessionEnd::Closed),
+            sent = self.transfer(client, queue, outage) => sent,
         }
     }
 
-    /// Opens the stream and carries frames both ways.
-    async fn carry(
+    /// Opens the stream and transfers frames in both directions.
+    async fn transfer(
         &self,
         client: SendRequest<Bytes>,
         queue: &mut mpsc::Receiver<Frame>,
         outage: &mut Outage,
-    ) -> Result<Ended, LinkError> {
-        let (writer, reader) = within(PING_DEADLINE, self.open(client)).await?;
-        self.stats.count(LinkEvent::Up);
-        outage.over(Instant::now());
+    ) -> Result<SessionEnd, LinkError> {
+        let (writer, reader) = with_timeout(PING_TIMEOUT, self.open(client)).await?;
+        self.stats.increment(LinkEvent::Up);
+        outage.record_up(Instant::now());
         tokio::select! {
             sent = self.write(writer, queue) => sent,
-            read = self.read(reader) => read.map(|()| Ended::Closed),
+            read = self.read(reader) => read.map(|()| SessionEnd::Closed),
         }
     }
 
+    /// Opens the stream, authenticates and waits for admission.
     async fn open(
         &self,
         client: SendRequest<Bytes>,
@@ -135,15 +138,15 @@
         let mut client = client.ready().await?;
         let (response, stream) = client.send_request(request, false)?;
         let response = response.await?;
-        let place = Place {
+        let context = FrameContext {
             nonce: nonce_of(&response)?,
             from: self.conf.me.clone(),
             to: self.peer.clone(),
             sequence: 0,
         };
         let key = &self.conf.key;
-        let mut reader = FrameReader::new(response.into_body(), key.clone(), place.reversed());
-        let mut writer = FrameWriter::new(stream, key.clone(), place);
+        let mut reader = FrameReader::new(response.into_body(), key.clone(), context.reversed());
+        let mut writer = FrameWriter::new(stream, key.clone(), context);
         let class = self.conf.class;
         let introduction = crate::codec::encode(&Introduction { class });
         writer.send(&[introduction]).await?;
@@ -157,30 +160,31 @@
         &self,
         mut writer: FrameWriter,
         queue: &mut mpsc::Receiver<Frame>,
-    ) -> Result<Ended, LinkError> {
+    ) -> Result<SessionEnd, LinkError> {
         loop {
-            let message = match timeout(IDLE, queue.recv()).await {
+            let message = match timeout(IDLE_TIMEOUT, queue.recv()).await {
                 Ok(Some(message)) => message,
                 Ok(None) => {
                     writer.finish()?;
-                    return Ok(Ended::Closed);
+                    return Ok(SessionEnd::Closed);
                 }
-                Err(_) if self.conf.found_by_address() => {
-                    // A frame that is queued at this moment still leaves.
+                Err(_) if self.conf.has_dynamic_peers() => {
+                    // A frame that was queued in the meantime is still sent.
                     queue.close();
                     while let Some(message) = queue.recv().await {
-                        writer.send(&batch(message, queue)).await?;
+                        writer.send(&collect_batch(message, queue)).await?;
                     }
                     writer.finish()?;
-                    return Ok(Ended::Idle);
+                    return Ok(SessionEnd::Idle);
                 }
                 Err(_) => continue,
             };
-            writer.send(&batch(message, queue)).await?;
+            writer.send(&collect_batch(message, queue)).await?;
         }
     }
 
-    /// Hands on what comes back. Replicas get none: theirs come by links of their own.
+    /// Passes the frames that come back to the sink. A replica gets none, because its peers
+    /// send theirs on links that they open themselves.
     async fn read(&self, mut reader: FrameReader) -> Result<(), LinkError> {
         if self.conf.class == PeerClass::Replica {
             return std::future::pending().await;
@@ -198,22 +202,24 @@
     stream: TcpStream,
 ) -> Result<(SendRequest<Bytes>, client::Connection<TcpStream>), h2::Error> {
     let mut builder = client::Builder::new();
-    builder.data_frame_budget(FRAME_OVERHEAD_BYTES);
+    builder.data_frame_budget(DATA_FRAME_BUDGET_BYTES);
     builder.handshake(stream).await
 }
 
-/// How long to wait for the next try.
-fn pause(err: &LinkError) -> Duration {
+/// Returns the delay before the next connection attempt.
+fn reconnect_delay(err: &LinkError) -> Duration {
     match err {
-        LinkError::Refused => REFUSED_RETRY + REFUSED_RETRY.mul_f64(rand::rng().random()),
-        _ => RETRY,
+        LinkError::Refused => {
+            REFUSED_RECONNECT_DELAY + REFUSED_RECONNECT_DELAY.mul_f64(rand::rng().random())
+        }
+        _ => RECONNECT_DELAY,
     }
 }
 
 async fn keep_alive(mut pings: h2::PingPong) -> Result<(), LinkError> {
     loop {
-        sleep(PING_EVERY).await;
-        timeout(PING_DEADLINE, pings.ping(h2::Ping::opaque()))
+        sleep(PING_INTERVAL).await;
+        timeout(PING_TIMEOUT, pings.ping(h2::Ping::opaque()))
             .await
             .map_err(|_| LinkError::Silent)??;
     }
--- a/src/link/stats.rs
+++ b/src/link/stats.rs
@@ -3,36 +3,36 @@
 use prometheus::core::Collector;
 use prometheus::{IntCounterVec, IntGauge, Opts};
 
-/// What happens to links.
+/// Events in the life of links, counted by [`LinkStats`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum LinkEvent {
-    /// A link opened from here is up.
+    /// A link that this instance opens came up.
     #[display("up")]
     Up,
-    /// A link opened from here ended, or did not come up.
+    /// A link that this instance opens ended or did not come up.
     #[display("failed")]
     Failed,
-    /// An incoming link was kept.
+    /// An incoming link was admitted.
     #[display("admitted")]
     Admitted,
-    /// An incoming link was refused, as all places are taken.
+    /// An incoming link was refused because all slots are taken.
     #[display("refused")]
     Refused,
-    /// An incoming connection made room for another one.
+    /// An unauthenticated incoming connection was closed in favor of a newer one.
     #[display("evicted")]
     Evicted,
-    /// An incoming connection did not prove whose it is.
+    /// An incoming connection failed authentication.
     #[display("unproved")]
-    Unproved,
-    /// A link was not opened from here, as all places are taken.
+    Unauthenticated,
+    /// This instance did not open a link because all outgoing slots are taken.
     #[display("not-opened")]
     NotOpened,
-    /// A frame was dropped: its queue is full, or it has no link.
+    /// A frame was dropped because its queue is full or there is no link to the peer.
     #[display("frame-dropped")]
     FrameDropped,
 }
 
-/// Counters of an instance's links.
+/// Metrics of an instance's links.
 #[derive(Clone, Debug)]
 pub struct LinkStats(Arc<Collectors>);
 
@@ -45,40 +45,47 @@
 
 impl Default for LinkStats {
     fn default() -> Self {
-        let events = Opts::new("rosemarygauge_links_total", "What happened to links");
-        let gauge = |name, help| IntGauge::new(name, help).expect("a plain name");
+        let events = Opts::new("rosemarygauge_links_total", "Link events by kind");
+        let gauge = |name, help| IntGauge::new(name, help).expect("the metric name is valid");
         Self(Arc::new(Collectors {
-            events: IntCounterVec::new(events, &["event"]).expect("a plain name and label"),
-            incoming: gauge("rosemarygauge_links_incoming", "Links of proved peers"),
-            outgoing: gauge("rosemarygauge_links_outgoing", "Links opened from here"),
+            events: IntCounterVec::new(events, &["event"])
+                .expect("the metric name and label are valid"),
+            incoming: gauge(
+                "rosemarygauge_links_incoming",
+                "Incoming links of authenticated peers",
+            ),
+            outgoing: gauge(
+                "rosemarygauge_links_outgoing",
+                "Links opened by this instance",
+            ),
         }))
     }
 }
 
 impl LinkStats {
-    /// Counts an event.
-    pub(super) fn count(&self, event: LinkEvent) {
+    /// Counts one event.
+    pub(super) fn increment(&self, event: LinkEvent) {
         let name = event.to_string();
         self.0.events.with_label_values(&[name.as_str()]).inc();
     }
 
-    /// How often something happened.
-    pub fn counted(&self, event: LinkEvent) -> u64 {
+    /// Returns how often an event has occurred.
+    pub fn total(&self, event: LinkEvent) -> u64 {
         let name = event.to_string();
         self.0.events.with_label_values(&[name.as_str()]).get()
     }
 
-    /// How many incoming links there are.
+    /// Sets the gauge of incoming links.
     pub(super) fn set_incoming(&self, links: usize) {
         self.0.incoming.set(links as i64);
     }
 
-    /// How many links are opened from here.
+    /// Sets the gauge of links that this instance opened.
     pub(super) fn set_outgoing(&self, links: usize) {
         self.0.outgoing.set(links as i64);
     }
 
-    /// What a registry takes.
+    /// Returns the collectors to register with a metrics registry.
     pub fn collectors(&self) -> Vec<Box<dyn Collector>> {
         vec![
             Box::new(self.0.events.clone()),
--- a/src/link/stream.rs
+++ b/src/link/stream.rs
@@ -1,7 +1,7 @@
-//! The two directions of a link's stream, in frames.
+//! Framed reading and writing of a link's stream.
 //!
-//! Messages that wait at the same time leave in one frame: each frame costs a MAC and a DATA
-//! frame of its own, many times what a short message does.
+//! Messages that are queued at the same time are sent in one frame, because each frame costs
+//! a MAC and an HTTP/2 DATA frame, many times the cost of a short message.
 
 use std::collections::VecDeque;
 
@@ -10,20 +10,20 @@
 use tokio::sync::mpsc;
 
 use super::LinkError;
-use super::frame::{Opener, seal};
-use super::peer_key::{PeerKey, Place};
+use super::frame::{FrameDecoder, encode_frame};
+use super::peer_key::{FrameContext, PeerKey};
 use super::queues::Frame;
 
-/// Messages are added to a frame until it has so many bytes: little beside a link's
-/// bandwidth, so that a heartbeat does not wait for long.
-const BATCH_BYTES: usize = 64 << 10;
+/// Size from which no further message is added to a frame. It is small compared with a link's
+/// bandwidth, so that a heartbeat is not delayed for long.
+const BATCH_TARGET_BYTES: usize = 64 << 10;
 const LENGTH_BYTES: usize = 4;
 
-/// Takes what is waiting, after a first message.
-pub(super) fn batch(first: Frame, queue: &mut mpsc::Receiver<Frame>) -> Vec<Frame> {
+/// Returns `first` together with the queued messages, up to the target size of a batch.
+pub(super) fn collect_batch(first: Frame, queue: &mut mpsc::Receiver<Frame>) -> Vec<Frame> {
     let mut bytes = first.len();
     let mut messages = vec![first];
-    while bytes < BATCH_BYTES {
+    while bytes < BATCH_TARGET_BYTES {
         let Ok(next) = queue.try_recv() else { break };
         bytes += next.len();
         messages.push(next);
@@ -31,26 +31,30 @@
     messages
 }
 
-/// Writes proved frames.
+/// Writes authenticated frames to a stream.
 pub(super) struct FrameWriter {
     stream: SendStream<Bytes>,
     key: PeerKey,
-    place: Place,
+    context: FrameContext,
 }
 
 impl FrameWriter {
-    /// A writer at the start of a stream.
-    pub fn new(stream: SendStream<Bytes>, key: PeerKey, place: Place) -> Self {
-        Self { stream, key, place }
+    /// Returns a writer for the start of a stream.
+    pub fn new(stream: SendStream<Bytes>, key: PeerKey, context: FrameContext) -> Self {
+        Self {
+            stream,
+            key,
+            context,
+        }
     }
 
     /// Sends messages in one frame.
     ///
     /// # Errors
-    /// They are too large, or the stream has ended.
+    /// The messages are too large, or the stream has ended.
     pub async fn send(&mut self, messages: &[Frame]) -> Result<(), LinkError> {
-        let mut data = seal(&self.key, &self.place, &pack(messages)?)?;
-        self.place.sequence += 1;
+        let mut data = encode_frame(&self.key, &self.context, &pack(messages)?)?;
+        self.context.sequence += 1;
         while !data.is_empty() {
             self.stream.reserve_capacity(data.len());
             let granted = std::future::poll_fn(|cx| self.stream.poll_capacity(cx))
@@ -62,48 +66,48 @@
         Ok(())
     }
 
-    /// Ends the stream in order.
+    /// Ends the stream gracefully.
     ///
     /// # Errors
-    /// It has ended already.
+    /// The stream has ended already.
     pub fn finish(mut self) -> Result<(), LinkError> {
         self.stream.send_data(Bytes::new(), true)?;
         Ok(())
     }
 }
 
-/// Reads proved frames.
+/// Reads authenticated frames from a stream.
 pub(super) struct FrameReader {
     body: RecvStream,
-    opener: Opener,
+    decoder: FrameDecoder,
     messages: VecDeque<Bytes>,
 }
 
 impl FrameReader {
-    /// A reader at the start of a stream.
-    pub fn new(body: RecvStream, key: PeerKey, place: Place) -> Self {
+    /// Returns a reader for the start of a stream.
+    pub fn new(body: RecvStream, key: PeerKey, context: FrameContext) -> Self {
         Self {
             body,
-            opener: Opener::new(key, place),
+            decoder: FrameDecoder::new(key, context),
             messages: VecDeque::new(),
         }
     }
 
-    /// The next message.
+    /// Returns the next message.
     ///
     /// # Errors
-    /// The stream has ended, or a frame is not proved.
+    /// The stream has ended, or a frame is malformed or not authenticated.
     pub async fn next(&mut self) -> Result<Bytes, LinkError> {
         loop {
             if let Some(message) = self.messages.pop_front() {
                 return Ok(message);
             }
-            if let Some(payload) = self.opener.next()? {
+            if let Some(payload) = self.decoder.next()? {
                 self.messages = unpack(payload)?;
                 continue;
             }
             let data: Bytes = self.body.data().await.ok_or(LinkError::Ended)??;
-            self.opener.push(&data);
+            self.decoder.push(&data);
             self.body.flow_control().release_capacity(data.len())?;
         }
     }
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between instances: which of many connections a listener keeps.
+//! Links between instances: admission of connections and batching of messages.
 #![allow(missing_docs, clippy::unwrap_used)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,105 +14,107 @@
 use rosemarygauge::model::EntryName;
 use rosemarygauge::places::Places;
 
-const UNPROVED: usize = 4;
-const PLACES: usize = 8;
+const MAX_UNAUTHENTICATED: usize = 4;
+const SLOTS: usize = 8;
 
 fn admission() -> Admission<u64> {
-    Admission::new(UNPROVED, Places::only(PLACES))
+    Admission::new(MAX_UNAUTHENTICATED, Places::only(SLOTS))
 }
 
 fn name(text: impl std::fmt::Display) -> EntryName {
     EntryName::from(text.to_string())
 }
 
-/// Connects and proves it: the handle that made room.
-fn join(
+/// Connects and authenticates a peer. Returns the handle of the link that it closes, if any.
+fn connect(
     admission: &mut Admission<u64>,
     handle: u64,
     peer: &EntryName,
     class: PeerClass,
 ) -> Result<Option<u64>, Refusal> {
-    let (id, _) = admission.arrive(handle);
-    admission.prove(id, peer, class)
+    let (id, _) = admission.register(handle);
+    admission.admit(id, peer, class)
 }
 
-/// Guards against: clients that connect first keep the replicas out, and no leader is elected.
+/// Guards against clients that connect first, take all slots and keep the replicas from
+/// electing a leader.
 #[test]
-fn replicas_get_a_place_however_many_clients_came_first() {
+fn replicas_are_admitted_after_any_number_of_clients() {
     let mut admission = admission();
     let mut refused = 0;
     for client in 0..150 {
-        let joined = join(&mut admission, client, &name(client), PeerClass::Client);
-        refused += usize::from(joined == Err(Refusal::Full));
+        let admitted = connect(&mut admission, client, &name(client), PeerClass::Client);
+        refused += usize::from(admitted == Err(Refusal::Full));
     }
-    assert_eq!((admission.proved(), refused), (8, 142));
+    assert_eq!((admission.authenticated(), refused), (8, 142));
     for replica in 0..5 {
         let peer = name(format!("replica-{replica}"));
-        let joined = join(&mut admission, 1_000 + replica, &peer, PeerClass::Replica);
-        assert_eq!(joined, Ok(Some(replica)), "the oldest client makes room");
+        let admitted = connect(&mut admission, 1_000 + replica, &peer, PeerClass::Replica);
+        assert_eq!(admitted, Ok(Some(replica)), "the oldest client is evicted");
     }
-    assert_eq!(admission.proved(), 8);
+    assert_eq!(admission.authenticated(), 8);
 }
 
-/// Guards against: a replica takes the place of another one.
+/// Guards against a replica that evicts another one.
 #[test]
 fn replicas_do_not_evict_each_other() {
     let mut admission = admission();
     for replica in 0..8 {
-        assert!(join(&mut admission, replica, &name(replica), PeerClass::Replica).is_ok());
+        assert!(connect(&mut admission, replica, &name(replica), PeerClass::Replica).is_ok());
     }
-    let ninth = join(&mut admission, 8, &name(8), PeerClass::Replica);
+    let ninth = connect(&mut admission, 8, &name(8), PeerClass::Replica);
     assert_eq!(ninth, Err(Refusal::Full));
 }
 
-/// Guards against: connections that a cut left half open keep their peers from coming back.
+/// Guards against half-open connections, left by a network partition, that keep their peers
+/// from reconnecting.
 #[test]
-fn a_newer_link_of_a_peer_replaces_the_older() {
+fn a_newer_link_of_a_peer_replaces_the_older_one() {
     let mut admission = admission();
     for round in 0..3 {
         for client in 0..8 {
-            let joined = join(
+            let admitted = connect(
                 &mut admission,
                 10 * round + client,
                 &name(client),
                 PeerClass::Client,
             );
             let replaced = (round > 0).then(|| 10 * (round - 1) + client);
-            assert_eq!(joined, Ok(replaced));
+            assert_eq!(admitted, Ok(replaced));
         }
     }
-    assert_eq!(admission.proved(), 8);
+    assert_eq!(admission.authenticated(), 8);
 }
 
-/// Guards against: the end of a replaced connection takes away its successor's place.
+/// Guards against the end of a replaced connection removing the link that replaced it.
 #[test]
-fn the_end_of_a_replaced_link_leaves_the_newer() {
+fn the_end_of_a_replaced_link_keeps_the_newer_one() {
     let mut admission = admission();
     let peer = name("a");
-    let (first, _) = admission.arrive(1);
-    assert_eq!(admission.prove(first, &peer, PeerClass::Client), Ok(None));
+    let (first, _) = admission.register(1);
+    assert_eq!(admission.admit(first, &peer, PeerClass::Client), Ok(None));
     assert_eq!(
-        join(&mut admission, 2, &peer, PeerClass::Client),
+        connect(&mut admission, 2, &peer, PeerClass::Client),
         Ok(Some(1))
     );
-    admission.leave(first, Some(&peer));
-    assert_eq!(admission.proved(), 1);
+    admission.remove(first, Some(&peer));
+    assert_eq!(admission.authenticated(), 1);
 }
 
-/// Guards against: connections that prove nothing keep everybody else out.
+/// Guards against connections that never authenticate and keep all other peers out.
 #[test]
-fn the_oldest_unproved_connection_makes_room() {
+fn the_oldest_unauthenticated_connection_is_evicted() {
     let mut admission = admission();
-    let (stuck, _) = admission.arrive(0);
-    let evicted: Vec<Option<u64>> = (1..=5).map(|handle| admission.arrive(handle).1).collect();
+    let (stuck, _) = admission.register(0);
+    let evicted: Vec<Option<u64>> = (1..=5).map(|handle| admission.register(handle).1).collect();
     assert_eq!(evicted, [None, None, None, Some(0), Some(1)]);
-    let late = admission.prove(stuck, &name("a"), PeerClass::Replica);
+    let late = admission.admit(stuck, &name("a"), PeerClass::Replica);
     assert_eq!(late, Err(Refusal::Evicted));
 }
 
-/// Guards against: a sum of bounds that is more than the process may open.
+/// Guards against limits whose sum exceeds the process's limit on open files.
 #[quickcheck]
-fn the_budget_fits_into_the_open_files(open_files: u16, memory_mb: u8) -> bool {
+fn the_connection_budget_stays_within_the_open_file_limit(open_files: u16, memory_mb: u8) -> bool {
     let grant = Grant {
         open_files: usize::from(open_files),
         memory_bytes: Some(usize::from(memory_mb) << 20),
@@ -128,10 +130,10 @@
     })
 }
 
-/// Guards against: one kind of connection is refused while places of another stand empty, and
-/// one kind that takes what is kept for the others.
+/// Guards against refusing one kind of connection while shared slots are free, and against one
+/// kind taking the slots that are reserved for the others.
 #[test]
-fn kinds_share_what_is_left_and_keep_their_own() {
+fn connection_kinds_share_spare_slots_and_keep_reserved_ones() {
     let grant = Grant {
         open_files: 4_324,
         memory_bytes: None,
@@ -149,10 +151,11 @@
     assert_eq!(places.incoming.free(), budget.incoming);
 }
 
-/// Whatever connects, proves itself and leaves in whatever order: no more links than the
-/// limit, one a peer, and no replica is closed but by a newer link of its own.
+/// For any order of connecting, authenticating and disconnecting, there are no more links than
+/// the limit and at most one for each peer, and only a newer link of the same replica closes a
+/// replica's link.
 #[quickcheck]
-fn no_order_of_events_breaks_the_limits(events: Vec<(u8, u8, bool)>) -> bool {
+fn limits_hold_for_any_order_of_events(events: Vec<(u8, u8, bool)>) -> bool {
     let mut admission = admission();
     let mut open: Vec<(u64, EntryName, PeerClass)> = Vec::new();
     for (kind, peer, replica) in events {
@@ -163,8 +166,8 @@
         let peer = name(format!("{class}-{}", peer % 12));
         match kind % 3 {
             0 | 1 => {
-                let (id, _) = admission.arrive(u64::MAX);
-                let Ok(closed) = admission.prove(id, &peer, class) else {
+                let (id, _) = admission.register(u64::MAX);
+                let Ok(closed) = admission.admit(id, &peer, class) else {
                     continue;
                 };
                 if closed.is_some() {
@@ -185,23 +188,26 @@
             _ => {
                 if !open.is_empty() {
                     let (id, name, _) = open.remove(0);
-                    admission.leave(id, Some(&name));
+                    admission.remove(id, Some(&name));
                 }
             }
         }
         let names: BTreeSet<&EntryName> = open.iter().map(|(_, name, _)| name).collect();
-        if open.len() > PLACES || names.len() != open.len() {
+        if open.len() > SLOTS || names.len() != open.len() {
             return false;
         }
-        if admission.proved() != open.len() {
+        if admission.authenticated() != open.len() {
             return false;
         }
     }
     true
 }
 
-/// Two replicas with a link each way; the second one's sink blocks the thread of its links.
-fn linked(sink: impl Fn(EntryName, u64) -> bool + Send + Sync + 'static) -> [Links<u64>; 2] {
+/// Starts two replicas with a link in each direction. The second one passes its frames to
+/// `sink`, which may block the thread of its links.
+fn linked_replicas(
+    sink: impl Fn(EntryName, u64) -> bool + Send + Sync + 'static,
+) -> [Links<u64>; 2] {
     let listeners = ["a", "b"].map(|me| (name(me), TcpListener::bind("127.0.0.1:0").unwrap()));
     let addresses = listeners
         .iter()
@@ -222,12 +228,12 @@
     ]
 }
 
-/// Guards against: a link that ends because a busy process finds hundreds of short messages at
-/// once; followers lose their leader in the second in which most is to do.
+/// Guards against a link that ends because a busy process receives hundreds of short messages
+/// at once, so that followers lose their leader at peak load.
 #[test]
-fn short_messages_that_pile_up_do_not_end_the_link() {
+fn accumulated_short_messages_do_not_end_the_link() {
     let (seen, messages) = channel();
-    let [a, _b] = linked(move |_, number| {
+    let [a, _b] = linked_replicas(move |_, number| {
         if number == 0 {
             std::thread::park_timeout(Duration::from_millis(300));
         }
@@ -235,12 +241,12 @@
     });
     let to = name("b");
     let limit = Duration::from_secs(20);
-    while a.stats().counted(LinkEvent::Up) == 0 {
+    while a.stats().total(LinkEvent::Up) == 0 {
         std::thread::yield_now();
     }
     for number in 0..20_000 {
         a.send(&to, &number);
-        // Leaves time for a part to leave by itself, as short frames do.
+        // The pause makes some messages leave in short frames of their own.
         if number % 4 == 0 {
             std::thread::park_timeout(Duration::from_micros(10));
         }
@@ -248,5 +254,5 @@
             assert!(messages.recv_timeout(limit).is_ok(), "{number}");
         }
     }
-    assert_eq!(a.stats().counted(LinkEvent::Failed), 0);
+    assert_eq!(a.stats().total(LinkEvent::Failed), 0);
 }
--- a/tests/platform/crowd.rs
+++ b/tests/platform/crowd.rs
@@ -67,7 +67,7 @@
     }
 
     fn counted(&self, event: LinkEvent) -> u64 {
-        let counted = self.clients.iter().map(|c| c.stats().counted(event));
+        let counted = self.clients.iter().map(|c| c.stats().total(event));
         counted.sum()
     }
 }
