--- a/src/platform/advisor.rs
+++ b/src/platform/advisor.rs
@@ -1,4 +1,4 @@
-//! Questions to the advisor.
+//! Advice requests to the placement advisor.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,17 +16,17 @@
 
 #[derive(Deserialize)]
 struct Advice {
-    /// Rows of a worker's incarnation and its ticket.
+    /// Pairs of a worker incarnation and its ticket.
     allowed: Vec<(String, String)>,
 }
 
-/// Asks which workers may run a step; none if there is no answer.
-pub(super) async fn ask(
+/// Asks the advisor which of `workers` may run a step. Returns `None` without a valid answer.
+pub(super) async fn request_advice(
     client: &Rc<Client>,
     advisor: SocketAddr,
     step: TaskId,
     workers: &[InstanceName],
-    limit: Duration,
+    timeout: Duration,
 ) -> Option<Vec<(InstanceName, String)>> {
     let name = format!("{}.{}.{}", step.job, step.occurrence, step.step);
     let workers: Vec<&str> = workers.iter().map(InstanceName::as_str).collect();
@@ -36,20 +36,20 @@
         .header("content-type", "application/json")
         .body(Full::new(Bytes::from(body)))
         .ok()?;
-    match client.call(advisor, request, limit).await {
+    match client.call(advisor, request, timeout).await {
         Ok((status, body)) if status.is_success() => {
             let advice: Advice = serde_json::from_slice(&body)
-                .map_err(|err| tracing::warn!(%err, "advisor: an answer cannot be read"))
+                .map_err(|err| tracing::warn!(%err, "advisor: cannot decode an answer"))
                 .ok()?;
             let allowed = advice.allowed.into_iter();
             Some(allowed.map(|(id, ticket)| (id.into(), ticket)).collect())
         }
         Ok((status, _)) => {
-            tracing::info!(%status, step = name, "advisor: refused");
+            tracing::info!(%status, step = name, "advisor: an advice request was refused");
             None
         }
         Err(err) => {
-            tracing::info!(%err, step = name, "advisor: no answer");
+            tracing::info!(%err, step = name, "advisor: an advice request was not answered");
             None
         }
     }
--- a/src/platform/caught_signals.rs
+++ b/src/platform/caught_signals.rs
@@ -3,29 +3,30 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 use super::Settings;
-use super::settings_fault::list;
+use super::settings_fault::join_lines;
 use crate::control::{Signal, WallClock};
 
-/// Planned stops and changed settings that a process was asked for; they wait until
-/// its loop can take them.
+/// Signals for a planned stop (SIGTERM) or a reload of the settings (SIGHUP), queued until the
+/// event loop takes them.
 #[derive(Debug)]
 pub struct CaughtSignals(Signals);
 
 impl CaughtSignals {
-    /// Catches them from now on.
+    /// Installs the signal handlers.
     ///
-    /// Before anything else at a start, which takes seconds on a slow disk: uncaught,
-    /// either signal ends the process without a line, and a planned stop looks like a
-    /// crash. Caught ones lose nothing by waiting, as settings are read when taken.
+    /// It has to be called first in the process, because the start takes seconds on a slow
+    /// disk. Without a handler either signal ends the process without a log line, and a planned
+    /// stop looks like a crash. Queued signals lose nothing by the delay, because the settings
+    /// are read when the signal is taken.
     ///
     /// # Errors
-    /// The system refuses the handlers.
+    /// The system rejects the handlers.
     pub fn catch() -> std::io::Result<Self> {
         Signals::new([SIGTERM, SIGHUP]).map(Self)
     }
 
-    /// Hands them to the loop, those that wait first.
-    pub(super) fn pass_on(
+    /// Forwards the signals to the event loop, starting with those that are queued.
+    pub(super) fn forward(
         self,
         signals: UnboundedSender<Signal>,
         wall: WallClock,
@@ -48,7 +49,7 @@
     }
 }
 
-/// Reads the settings again; wrong ones change nothing.
+/// Reloads the settings. Invalid settings change nothing.
 fn reload(wall: &WallClock) -> Option<Signal> {
     match Settings::load() {
         Ok(settings) => {
@@ -58,8 +59,8 @@
         }
         Err(faults) => {
             tracing::error!(
-                faults = list(&faults),
-                "serve: the changed settings are wrong"
+                faults = join_lines(&faults),
+                "serve: the changed settings are invalid and are ignored"
             );
             None
         }
--- a/src/platform/cell.rs
+++ b/src/platform/cell.rs
@@ -4,26 +4,26 @@
 use serde::de::{IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 
-/// Any value of a row of a listing, with texts left where they were received.
+/// A JSON value in a row of a listing, with strings borrowed from the input.
 ///
-/// A row of other types than expected must not cost the rows beside it, so rows are not
-/// read as tuples. A listing has dozens of texts and comes a thousand times a second, so
-/// none of them is copied before it is known to be used.
+/// Rows are not decoded as tuples, because a row with unexpected types must not invalidate the
+/// other rows. Strings are copied only when they are used: a listing holds dozens of them, and
+/// a thousand listings arrive per second.
 #[derive(Debug, PartialEq)]
 pub(super) enum Cell<'a> {
     Text(Cow<'a, str>),
     Whole(u64),
     Real(f64),
     Row(Vec<Cell<'a>>),
-    /// Of no use in a row.
+    /// A value that no row uses, such as a boolean, null or an object.
     Other,
 }
 
 impl Cell<'_> {
-    /// The value at a place of a row.
-    pub(super) fn get(&self, place: usize) -> Option<&Self> {
+    /// Returns the value at an index of a row.
+    pub(super) fn get(&self, index: usize) -> Option<&Self> {
         match self {
-            Self::Row(cells) => cells.get(place),
+            Self::Row(cells) => cells.get(index),
             _ => None,
         }
     }
@@ -95,7 +95,7 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut row: A) -> Result<Self::Value, A::Error> {
-        let mut cells = Vec::with_capacity(ROW_CELLS);
+        let mut cells = Vec::with_capacity(TYPICAL_ROW_CELLS);
         while let Some(cell) = row.next_element()? {
             cells.push(cell);
         }
@@ -108,5 +108,5 @@
     }
 }
 
-/// As many as a row usually has.
-const ROW_CELLS: usize = 5;
+/// Usual number of cells in a row.
+const TYPICAL_ROW_CELLS: usize = 5;
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -19,59 +19,66 @@
 use crate::control::steady_ms;
 use crate::places::{Place, Places};
 
-/// The largest answer that is read: a listing of 500 ends and as many runs has some
+/// Maximum size of a response body. A listing of 500 ended and 500 running tasks has about
 /// 100 kB.
-const ANSWER_LIMIT_BYTES: usize = 4 << 20;
-/// How long the kernel keeps what the other side has not acknowledged, unless told
-/// otherwise: a segment that is lost twice still arrives.
-const UNACKNOWLEDGED_MS: u32 = 700;
-/// Looks at the sockets in a row that find nothing more of an answer whose limit is
-/// over: one for the socket, one each to hand on the head, the body and its end.
-const LAST_LOOKS: u32 = 4;
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// Default TCP user timeout, after which the kernel gives up on unacknowledged data. It is long
+/// enough for a segment that is lost twice to arrive.
+const DEFAULT_TCP_USER_TIMEOUT_MS: u32 = 700;
+/// Number of consecutive yields without a new part of a response after which a call past its
+/// deadline ends: one to poll the socket, and one each to pass on the head, the body and its
+/// end.
+const FINAL_YIELDS: u32 = 4;
 
-/// Why a call has no answer.
+/// Reason why a call has no response.
 #[derive(Debug, derive_more::Display, derive_more::Error, derive_more::From)]
 pub enum ClientError {
-    /// No connection, or it broke.
+    /// The connection could not be opened, or it failed.
     #[display("{_0}")]
     Io(std::io::Error),
-    /// The other side does not keep to the protocol, or the connection broke.
+    /// The server violated HTTP, or the connection failed.
     #[display("{_0}")]
     Http(hyper::Error),
-    /// The answer is too large or was cut short.
-    #[display("the answer cannot be read whole")]
+    /// The response body is too large or was cut short.
+    #[display("the response body is too large or was cut short")]
     #[from(skip)]
     Body,
-    /// Nothing came in time.
+    /// No response arrived before the deadline.
     #[display("no answer in time")]
     #[from(skip)]
     Silent,
-    /// It did not leave in time: all connections were taken, or the loop was held.
+    /// The request was not sent before the deadline, because all connections were in use or the
+    /// event loop was blocked.
     #[display("not sent in time")]
     #[from(skip)]
     NotSent,
-    /// The call was thrown away.
+    /// The call was ended by [`Client::abort`].
     #[display("aborted")]
     #[from(skip)]
     Aborted,
 }
 
-/// A connection; dropping it resets it.
+/// A connection. Dropping it resets the TCP connection.
 #[derive(Debug)]
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// Its place among all.
+    /// Its slot among all connections.
     _place: Place,
-    /// The task that owns the socket ends when this closes.
+    /// Closing it ends the task that owns the socket.
     _open: oneshot::Sender<()>,
 }
 
-/// An answer, or why there is none and the request if it never left.
-type Exchanged = Result<(StatusCode, Bytes), (ClientError, Option<Request<Full<Bytes>>>)>;
+/// A response, or the error together with the request if it was never sent.
+type ExchangeResult = Result<(StatusCode, Bytes), (ClientError, Option<Request<Full<Bytes>>>)>;
 
 impl Connection {
-    /// Sends a request and reads its answer; after `due` only what is already there.
-    async fn exchange(&mut self, request: Request<Full<Bytes>>, due: Instant) -> Exchanged {
+    /// Sends a request and reads its response. After `deadline` it only reads what has already
+    /// arrived.
+    async fn exchange(
+        &mut self,
+        request: Request<Full<Bytes>>,
+        deadline: Instant,
+    ) -> ExchangeResult {
         let parts = Cell::new(0);
         let answer = async {
             let response = self.sender.try_send_request(request).await;
@@ -81,7 +88,7 @@
             })?;
             parts.set(1);
             let (head, body) = response.into_parts();
-            let body = Limited::new(body, ANSWER_LIMIT_BYTES);
+            let body = Limited::new(body, MAX_BODY_BYTES);
             let counted = body.map_frame(|part| {
                 parts.set(parts.get() + 1);
                 part
@@ -93,95 +100,101 @@
         tokio::select! {
             biased;
             answer = answer => answer,
-            () = given_up(due, &parts) => Err((ClientError::Silent, None)),
+            () = deadline_passed(deadline, &parts) => Err((ClientError::Silent, None)),
         }
     }
 }
 
-/// Ends when an answer's limit is over and nothing more of it is there to be read.
+/// Completes when the deadline has passed and no further part of the response is available.
 ///
-/// A loop that was busy, or suspended, until after the limit finds the timer and the
-/// answer at the same time. Given up at once, a good connection would be reset and the
-/// order sent again: more work for a loop that is behind already, which makes more
-/// answers late. A yield lets the runtime look at its sockets and run what they woke, so
-/// some yields find all that has arrived; `parts` counts what was found.
-async fn given_up(due: Instant, parts: &Cell<u32>) {
-    sleep_until(due).await;
+/// An event loop that was busy or suspended until after the deadline finds the timer and the
+/// response at the same time. If the call failed at once, a working connection would be reset
+/// and the order sent again, which delays an overloaded loop further and makes more responses
+/// late. A yield lets the runtime poll its sockets and run the tasks that they wake, so a few
+/// yields find everything that has arrived. `parts` counts the received parts.
+async fn deadline_passed(deadline: Instant, parts: &Cell<u32>) {
+    sleep_until(deadline).await;
     let mut found = parts.get();
-    let mut looks = 0;
-    while looks < LAST_LOOKS {
+    let mut idle_yields = 0;
+    while idle_yields < FINAL_YIELDS {
         yield_now().await;
-        looks = if parts.get() == found { looks + 1 } else { 0 };
+        idle_yields = if parts.get() == found {
+            idle_yields + 1
+        } else {
+            0
+        };
         found = parts.get();
     }
 }
 
-/// The one client for the platform: HTTP/1.1 with connections that are kept.
+/// HTTP/1.1 client for the platform with a pool of persistent connections.
 ///
-/// A connection on which an answer did not come in time is reset: it may be one that
-/// something in between has forgotten, which swallows all that follows. Closing it would
-/// not do. What a cut holds up stays in the kernel of a socket that is closed and is sent
-/// again when the cut heals: an order arrived 5.6 s after it was sent, and 4.5 s after
-/// those of the next leader, so that two leaders took turns on one machine. A reset
-/// throws away what has not arrived.
+/// A connection without a timely response is reset, because a middlebox may have lost its state
+/// and drop everything that follows. Closing it is not enough: the kernel keeps the unsent data
+/// of a closed socket and retransmits it when a network partition heals. An order then arrived
+/// 5.6 s after it was sent and 4.5 s after the orders of the next leader, so that two leaders
+/// took turns on one machine. A reset discards the data that has not arrived.
 ///
-/// A connection beyond the limit of all takes the place of one that is idle, or waits.
-/// Calls to one address beyond its connections wait for one: opening a connection costs
-/// more than the answer's round trip that it saves, several times over when a pass
-/// orders a dozen starts of one worker.
+/// At the limit of all connections, a new connection replaces an idle one or waits for a slot.
+/// At the limit for one address, a call waits for a connection: opening one costs more than the
+/// round trip that it saves, several times over when a scheduling pass orders a dozen starts
+/// from one worker.
 #[derive(Debug)]
 pub struct Client {
     connections_max: usize,
-    /// Places for connections to all addresses.
+    /// Slots for connections to all addresses.
     places: Places,
-    unacknowledged_ms: u32,
+    tcp_user_timeout_ms: u32,
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
-    room: RefCell<HashMap<SocketAddr, Rc<Semaphore>>>,
+    /// Permits for calls in flight, by address.
+    permits: RefCell<HashMap<SocketAddr, Rc<Semaphore>>>,
     aborted: Arc<Notify>,
 }
 
 impl Client {
-    /// A client with at most so many connections to one address.
+    /// Returns a client with at most `connections_max` connections to one address.
     pub fn new(connections_max: usize) -> Self {
-        Self::within(connections_max, Places::only(usize::MAX))
+        Self::with_places(connections_max, Places::only(usize::MAX))
     }
 
-    /// A client with at most so many connections to one address, and these places for all.
-    pub fn within(connections_max: usize, places: Places) -> Self {
+    /// Returns a client with at most `connections_max` connections to one address, each of
+    /// which takes a slot of `places`.
+    pub fn with_places(connections_max: usize, places: Places) -> Self {
         Self {
             connections_max,
             places,
-            unacknowledged_ms: UNACKNOWLEDGED_MS,
+            tcp_user_timeout_ms: DEFAULT_TCP_USER_TIMEOUT_MS,
             idle: RefCell::default(),
-            room: RefCell::default(),
+            permits: RefCell::default(),
             aborted: Arc::default(),
         }
     }
 
-    /// The same client, whose kernel keeps no longer than this what is not acknowledged.
-    pub fn with_unacknowledged_ms(self, unacknowledged_ms: u32) -> Self {
+    /// Sets the TCP user timeout, after which the kernel gives up on unacknowledged data.
+    pub fn with_tcp_user_timeout_ms(self, tcp_user_timeout_ms: u32) -> Self {
         Self {
-            unacknowledged_ms,
+            tcp_user_timeout_ms,
             ..self
         }
     }
 
-    /// Ends all calls that were made so far without an answer and resets their
-    /// connections; those that wait for a connection, or did not run yet, never leave.
+    /// Aborts all calls made so far and resets their connections. Calls that wait for a
+    /// connection or were not polled yet are never sent.
     pub fn abort(&self) {
         self.aborted.notify_waiters();
     }
 
-    /// Sends a request and reads its whole answer within `limit`.
+    /// Sends a request and reads its complete response within `limit`.
     ///
-    /// The call is made here, not when it first runs. A leader that orders something and
-    /// steps down in the same go of its loop aborts calls that have not run yet. Counted
-    /// from their first run they would leave after the abort, and reach a machine after
-    /// the orders of the next leader. What waits for [`Self::abort`] counts from here, and
-    /// is looked at before anything leaves.
+    /// The call registers for [`Self::abort`] here rather than when the future is first polled,
+    /// and checks for an abort before anything is sent. A leader may send an order and step
+    /// down in the same iteration of its event loop, before the future is polled. If the call
+    /// registered only then, it would be sent after the abort and reach a machine after the
+    /// orders of the next leader.
     ///
     /// # Errors
-    /// There is no whole answer; the request may have been carried out.
+    /// There is no complete response. The request may have been executed nevertheless, except
+    /// after [`ClientError::NotSent`].
     pub fn call(
         self: &Rc<Self>,
         address: SocketAddr,
@@ -194,67 +207,69 @@
             tokio::select! {
                 biased;
                 () = aborted => Err(ClientError::Aborted),
-                answer = client.answered(address, request, limit) => answer,
+                answer = client.send(address, request, limit) => answer,
             }
         }
     }
 
-    async fn answered(
+    async fn send(
         &self,
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
         limit: Duration,
     ) -> Result<(StatusCode, Bytes), ClientError> {
-        let due = Instant::now() + limit;
-        let due_ms = steady_ms() + limit.as_millis() as u64;
-        let room = self.room(address);
-        let place = timeout_at(due, room.acquire()).await;
-        let Ok(Ok(_place)) = place else {
+        let deadline = Instant::now() + limit;
+        let deadline_ms = steady_ms() + limit.as_millis() as u64;
+        let permits = self.permits(address);
+        let permit = timeout_at(deadline, permits.acquire()).await;
+        let Ok(Ok(_permit)) = permit else {
             return Err(ClientError::NotSent);
         };
         loop {
-            let (mut connection, kept) = match self.take(address) {
+            let (mut connection, reused) = match self.take_idle(address) {
                 Some(connection) => (connection, true),
                 None => {
-                    let place = self.place(due).await?;
-                    match timeout_at(due, connect(address, place, self.unacknowledged_ms)).await {
+                    let place = self.take_place(deadline).await?;
+                    match timeout_at(deadline, connect(address, place, self.tcp_user_timeout_ms))
+                        .await
+                    {
                         Ok(opened) => (opened?, false),
                         Err(_) => return Err(ClientError::Silent),
                     }
                 }
             };
-            // A loop that was held, or suspended, finds a free connection beside the end
-            // of the limit. What left now would arrive after its sender gave it up.
-            if steady_ms() >= due_ms {
-                self.keep(address, connection);
+            // An event loop that was blocked or suspended may find a free connection only after
+            // the deadline. A request sent now would arrive after its sender has timed out.
+            if steady_ms() >= deadline_ms {
+                self.put_idle(address, connection);
                 return Err(ClientError::NotSent);
             }
-            match connection.exchange(request, due).await {
+            match connection.exchange(request, deadline).await {
                 Ok(answer) => {
-                    self.keep(address, connection);
+                    self.put_idle(address, connection);
                     return Ok(answer);
                 }
-                // It never left: the kept connection had been closed.
-                Err((_, Some(unsent))) if kept => request = unsent,
+                // The request was not sent because the reused connection had been closed.
+                Err((_, Some(unsent))) if reused => request = unsent,
                 Err((err, _)) => return Err(err),
             }
         }
     }
 
-    fn room(&self, address: SocketAddr) -> Rc<Semaphore> {
-        let mut room = self.room.borrow_mut();
+    fn permits(&self, address: SocketAddr) -> Rc<Semaphore> {
+        let mut permits = self.permits.borrow_mut();
         let all = || Rc::new(Semaphore::new(self.connections_max));
-        Rc::clone(room.entry(address).or_insert_with(all))
+        Rc::clone(permits.entry(address).or_insert_with(all))
     }
 
-    /// A place for one more connection.
-    async fn place(&self, due: Instant) -> Result<Place, ClientError> {
+    /// Takes a slot for a new connection, closing an idle connection if none is free.
+    async fn take_place(&self, deadline: Instant) -> Result<Place, ClientError> {
         if let Some(place) = self.places.try_take() {
             return Ok(place);
         }
         self.close_idle();
-        timeout_at(due, self.places.take()).await.map_err(|_| {
-            tracing::info!("client: a call did not leave, all connections are taken");
+        timeout_at(deadline, self.places.take()).await.map_err(|_| {
+            tracing::info!("client: a call was not sent because all connections are in use");
             ClientError::NotSent
         })
     }
@@ -264,22 +279,22 @@
         let mut idle = self.idle.borrow_mut();
         let closed = idle.values_mut().find_map(Vec::pop);
         drop(closed);
-        idle.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Connection> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&address)?;
-        kept.retain(|connection| !connection.sender.is_closed());
-        let ready = kept.iter().rposition(|c| c.sender.is_ready())?;
-        Some(kept.swap_remove(ready))
+        let connections = idle.get_mut(&address)?;
+        connections.retain(|connection| !connection.sender.is_closed());
+        let ready = connections.iter().rposition(|c| c.sender.is_ready())?;
+        Some(connections.swap_remove(ready))
     }
 
-    fn keep(&self, address: SocketAddr, connection: Connection) {
+    fn put_idle(&self, address: SocketAddr, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(address).or_default();
+        let connections = idle.entry(address).or_default();
         if !connection.sender.is_closed() {
-            kept.push(connection);
+            connections.push(connection);
         }
     }
 }
@@ -287,19 +302,20 @@
 async fn connect(
     address: SocketAddr,
     place: Place,
-    unacknowledged_ms: u32,
+    tcp_user_timeout_ms: u32,
 ) -> Result<Connection, ClientError> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     stream.set_zero_linger()?;
-    set_tcp_user_timeout(&stream, unacknowledged_ms).map_err(std::io::Error::from)?;
+    set_tcp_user_timeout(&stream, tcp_user_timeout_ms).map_err(std::io::Error::from)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let (open, closed) = oneshot::channel();
     tokio::task::spawn_local(async move {
         tokio::select! {
-            // First: left to itself, a connection whose call is over shuts down orderly.
+            // The branch for `closed` comes first, because a connection whose call has ended
+            // would otherwise shut down gracefully.
             biased;
-            // The socket goes with the task, at once and with a reset.
+            // Dropping the socket with the task resets the connection at once.
             _ = closed => {}
             ended = connection => if let Err(err) = ended {
                 tracing::debug!(%err, "client: a connection ended");
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! Whole configurations as operators write them.
+//! Decoding of the configurations that operators submit.
 
 use serde::Deserialize;
 
@@ -8,9 +8,9 @@
 #[derive(Deserialize)]
 struct WireConfiguration {
     version: u64,
-    /// The queues.
+    /// Queues; the platform calls them routes.
     routes: Vec<WireQueue>,
-    /// The pools.
+    /// Pools; the platform calls them services.
     services: Vec<WirePool>,
 }
 
@@ -25,9 +25,9 @@
     #[serde(default)]
     priority: u32,
     service: String,
-    #[serde(default = "one_attempt")]
+    #[serde(default = "default_max_attempts")]
     max_attempts: u32,
-    #[serde(default = "no_slack")]
+    #[serde(default = "default_slack_factor")]
     slack_factor: f64,
     advice: Option<WireAdvice>,
 }
@@ -49,18 +49,18 @@
     standby: bool,
 }
 
-fn one_attempt() -> u32 {
+fn default_max_attempts() -> u32 {
     1
 }
 
-fn no_slack() -> f64 {
+fn default_slack_factor() -> f64 {
     1.0
 }
 
-/// Reads a configuration; it is kept word for word as well.
+/// Decodes a configuration. The result also holds the original document.
 ///
 /// # Errors
-/// It cannot be read in full.
+/// The document is not JSON, or a field is missing or has a wrong type.
 pub fn read_configuration(document: &[u8]) -> Result<Configuration, ConfigurationFault> {
     let wire: WireConfiguration =
         serde_json::from_slice(document).map_err(|err| ConfigurationFault::Unreadable {
@@ -69,13 +69,13 @@
     let pools = wire.services.into_iter();
     Ok(Configuration {
         version: wire.version,
-        queues: wire.routes.into_iter().map(queue).collect(),
+        queues: wire.routes.into_iter().map(read_queue).collect(),
         pools: pools.map(|p| (PoolName::from(p.name), p.standby)).collect(),
         document: document.to_vec(),
     })
 }
 
-fn queue(wire: WireQueue) -> Queue {
+fn read_queue(wire: WireQueue) -> Queue {
     Queue {
         name: wire.name,
         host: wire.host,
--- a/src/platform/control_calls.rs
+++ b/src/platform/control_calls.rs
@@ -6,26 +6,26 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use super::incoming::{done, refused, unknown};
+use super::replies::{refused, success, unknown_outcome};
 use super::{Settings, read_configuration, read_report};
 use crate::control::{Answer, Call, Desk, Refusal, Wave};
 use crate::http::{Handler, Incoming, Reply, handler, text, with_type};
 use crate::model::InstanceName;
 
-/// Workers and operators move on after a second without an answer.
-const PATIENCE_MS: u64 = 900;
+/// Timeout of a call. Workers and operators stop waiting for an answer after a second.
+const CALL_TIMEOUT_MS: u64 = 900;
 
-/// A wave as an operator writes it.
+/// A wave as an operator submits it.
 #[derive(Deserialize)]
 struct WireWave {
     wave: u64,
     machines: BTreeSet<String>,
     duration_s: f64,
-    /// How many may be down at once.
+    /// Maximum number of machines that may be down at once.
     max_count: usize,
 }
 
-/// Workers' and operators' calls at a control instance.
+/// HTTP API for workers and operators at a control instance.
 #[derive(Debug)]
 pub struct ControlCalls {
     desk: Arc<Desk>,
@@ -33,23 +33,23 @@
 }
 
 impl ControlCalls {
-    /// Calls that are handed in at a desk.
+    /// Returns an API that submits calls to `desk`.
     pub fn new(desk: Arc<Desk>, settings: Settings) -> Self {
         Self { desk, settings }
     }
 
-    /// What answers workers and operators.
+    /// Returns the HTTP handler of the API.
     pub fn handler(self) -> Handler {
         handler(Arc::new(self), Self::answer)
     }
 
     async fn answer(self: Arc<Self>, incoming: Incoming) -> Reply {
         let path = incoming.head.uri.path();
-        let call = match read(&incoming.head.method, path, &incoming.body) {
+        let call = match parse_call(&incoming.head.method, path, &incoming.body) {
             Ok(Some(call)) => call,
-            Ok(None) => return text(StatusCode::NOT_FOUND, "no such call\n"),
+            Ok(None) => return text(StatusCode::NOT_FOUND, "no such endpoint\n"),
             Err(why) => {
-                tracing::info!(path, why, "control: a call cannot be used");
+                tracing::info!(path, why, "control: rejected a malformed call");
                 return refused(&Refusal::Wrong(why), StatusCode::NOT_FOUND);
             }
         };
@@ -57,38 +57,38 @@
             Call::Report(report) => Some(report.worker.clone()),
             _ => None,
         };
-        match self.desk.call(call, PATIENCE_MS).await {
-            Answer::Done => reporter.map_or_else(|| done(&json!({})), |w| self.report_taken(&w)),
+        match self.desk.call(call, CALL_TIMEOUT_MS).await {
+            Answer::Done => reporter.map_or_else(|| success(&json!({})), |w| self.report_reply(&w)),
             Answer::Configuration(document) => with_type(
                 StatusCode::OK,
                 "application/json",
                 Bytes::from(document.to_vec()),
             ),
-            Answer::Wave { completed: true } => done(&json!({ "state": "completed" })),
-            Answer::Wave { completed: false } => done(&json!({ "state": "running" })),
+            Answer::Wave { completed: true } => success(&json!({ "state": "completed" })),
+            Answer::Wave { completed: false } => success(&json!({ "state": "running" })),
             Answer::Refused(refusal) => refused(&refusal, StatusCode::NOT_FOUND),
             Answer::Unknown
             | Answer::LeadLost
             | Answer::NotLeader { .. }
             | Answer::Job(_)
-            | Answer::Pending(_) => unknown(StatusCode::SERVICE_UNAVAILABLE),
+            | Answer::Pending(_) => unknown_outcome(StatusCode::SERVICE_UNAVAILABLE),
         }
     }
 
-    /// Names where later reports go: the same place for one worker, as long as it is
-    /// there, so that reports do not overtake each other.
-    fn report_taken(&self, worker: &InstanceName) -> Reply {
-        let places = self.desk.board().report_places;
+    /// Returns the reply to a report, with the address for the next one. A worker gets the same
+    /// address as long as that instance is available, so that its reports stay in order.
+    fn report_reply(&self, worker: &InstanceName) -> Reply {
+        let instances = self.desk.board().report_places;
         let hash = crc32fast::hash(worker.as_str().as_bytes()) as usize;
-        let place = places.get(hash % places.len().max(1));
-        match place.and_then(|name| self.settings.control_address(name)) {
-            Some(address) => done(&json!({ "heartbeat_addr": address.to_string() })),
-            None => done(&json!({})),
+        let instance = instances.get(hash % instances.len().max(1));
+        match instance.and_then(|name| self.settings.control_address(name)) {
+            Some(address) => success(&json!({ "heartbeat_addr": address.to_string() })),
+            None => success(&json!({})),
         }
     }
 }
 
-fn read(method: &Method, path: &str, body: &[u8]) -> Result<Option<Call>, String> {
+fn parse_call(method: &Method, path: &str, body: &[u8]) -> Result<Option<Call>, String> {
     if let Some(worker) = path.strip_prefix("/Instances.Heartbeat/") {
         return Ok(Some(Call::Report(Arc::new(read_report(worker, body)?))));
     }
@@ -98,7 +98,9 @@
         }));
     }
     if let Some(wave) = path.strip_prefix("/wave-get/") {
-        let wave = wave.parse().map_err(|_| "a wave has a number".to_owned())?;
+        let wave = wave
+            .parse()
+            .map_err(|_| "the path has to end with the number of a wave".to_owned())?;
         return Ok(Some(Call::LookAtWave { wave }));
     }
     Ok(match (method, path) {
--- a/src/platform/entry_calls.rs
+++ b/src/platform/entry_calls.rs
@@ -4,34 +4,34 @@
 use http::{Method, StatusCode};
 use serde_json::json;
 
-use super::incoming::{done, refused, unknown};
 use super::read_job;
+use super::replies::{refused, success, unknown_outcome};
 use crate::control::{Answer, Call, Desk, Place, outcome};
 use crate::http::{Handler, Incoming, Reply, handler, text};
 use crate::jobs::JobState;
 
-/// A caller's name for one call, for logs.
+/// Header with the caller's id of a request, which is logged.
 const REQUEST_HEADER: &str = "request-id";
-/// How long a caller waits, in milliseconds.
+/// Header with the caller's timeout in milliseconds.
 const DEADLINE_HEADER: &str = "deadline-ms";
-/// If the caller does not say: the shortest time that queues usually allow.
-const PATIENCE_MS: u64 = 2_500;
-/// Kept for the answer's way back.
-const RESERVE_MS: u64 = 150;
+/// Timeout of a caller that sends none: the shortest timeout that queues usually allow.
+const DEFAULT_TIMEOUT_MS: u64 = 2_500;
+/// Part of the caller's timeout that is reserved for the transfer of the answer.
+const ANSWER_RESERVE_MS: u64 = 150;
 
-/// Callers' calls at an entry instance.
+/// HTTP API for callers at an entry instance.
 #[derive(Debug)]
 pub struct EntryCalls {
     desk: Arc<Desk>,
 }
 
 impl EntryCalls {
-    /// Calls that are handed in at a desk.
+    /// Returns an API that submits calls to `desk`.
     pub fn new(desk: Arc<Desk>) -> Self {
         Self { desk }
     }
 
-    /// What answers callers.
+    /// Returns the HTTP handler of the API.
     pub fn handler(self) -> Handler {
         handler(Arc::new(self), Self::answer)
     }
@@ -40,8 +40,10 @@
         let patience_ms = incoming
             .header(DEADLINE_HEADER)
             .and_then(|text| text.parse::<u64>().ok())
-            .unwrap_or(PATIENCE_MS);
-        let patience_ms = patience_ms.saturating_sub(RESERVE_MS).max(RESERVE_MS);
+            .unwrap_or(DEFAULT_TIMEOUT_MS);
+        let patience_ms = patience_ms
+            .saturating_sub(ANSWER_RESERVE_MS)
+            .max(ANSWER_RESERVE_MS);
         let place = Place {
             host: host(&incoming),
             path: incoming.head.uri.path().to_owned(),
@@ -71,23 +73,25 @@
     match read_job(body) {
         Ok(spec) => Some(Arc::new(spec)),
         Err(err) => {
-            tracing::info!(%err, "entry: a job cannot be read");
+            tracing::info!(%err, "entry: cannot decode a job");
             None
         }
     }
 }
 
 fn host(incoming: &Incoming) -> String {
-    let named = incoming.header("host").unwrap_or("");
-    let host = named.rsplit_once(':').map_or(named, |(host, _)| host);
+    let authority = incoming.header("host").unwrap_or("");
+    let host = authority
+        .rsplit_once(':')
+        .map_or(authority, |(host, _)| host);
     host.to_owned()
 }
 
 fn reply(method: &Method, answer: &Answer) -> Reply {
     match answer {
-        Answer::Done => done(&json!({})),
-        Answer::Job(state) => done(&json!({ "state": state_name(*state) })),
-        Answer::Pending(count) => done(&json!({ "pending": count })),
+        Answer::Done => success(&json!({})),
+        Answer::Job(state) => success(&json!({ "state": state_name(*state) })),
+        Answer::Pending(count) => success(&json!({ "pending": count })),
         Answer::Refused(refusal) if *method == Method::POST => {
             refused(refusal, StatusCode::BAD_REQUEST)
         }
@@ -96,7 +100,7 @@
         | Answer::LeadLost
         | Answer::NotLeader { .. }
         | Answer::Configuration(_)
-        | Answer::Wave { .. } => unknown(StatusCode::GATEWAY_TIMEOUT),
+        | Answer::Wave { .. } => unknown_outcome(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
--- a/src/platform/jobs.rs
+++ b/src/platform/jobs.rs
@@ -1,16 +1,16 @@
-//! Jobs as callers write them.
+//! Decoding of the jobs that callers submit.
 
 use serde::Deserialize;
 
 use crate::jobs::{JobSpec, Recurrence, Room, Step};
 
-/// A job; fields that are 0, false or empty are left out on the wire.
+/// A job. Fields that are 0, false or empty are omitted on the wire.
 #[derive(Deserialize)]
 struct WireJob {
-    /// Handed to the tasks as it is; not a specification.
+    /// Payload that is passed to the tasks unchanged.
     #[serde(default)]
     spec: String,
-    /// The steps.
+    /// Steps of the job.
     phases: Vec<WireStep>,
     #[serde(default)]
     times: u32,
@@ -46,7 +46,7 @@
     data_rack: String,
     #[serde(default)]
     max_per_server: u16,
-    /// Copies may run in parallel.
+    /// Whether copies of a task may run in parallel.
     #[serde(default)]
     speculative: bool,
     #[serde(default)]
@@ -55,17 +55,18 @@
     image: String,
     #[serde(default)]
     target_ms: u64,
-    /// Gets only the processor time that others leave.
+    /// Whether the step is best effort and gets only spare processor time.
     #[serde(default)]
     fills: bool,
-    /// Absent and 0 differ: 0 allows no disruption at all.
+    /// Disruption budget. For a long-running step, an absent value counts as 0, which allows no
+    /// disruption.
     missable: Option<u16>,
 }
 
-/// Reads a job.
+/// Decodes a job.
 ///
 /// # Errors
-/// It is no JSON, or a field is of another type.
+/// The body is not JSON, or a field is missing or has a wrong type.
 pub fn read_job(body: &[u8]) -> Result<JobSpec, serde_json::Error> {
     let job: WireJob = serde_json::from_slice(body)?;
     let recurrence = (job.times > 0).then_some(Recurrence {
@@ -75,13 +76,13 @@
     });
     Ok(JobSpec {
         payload: job.spec,
-        steps: job.phases.into_iter().map(step).collect(),
+        steps: job.phases.into_iter().map(read_step).collect(),
         recurrence,
     })
 }
 
-fn step(wire: WireStep) -> Step {
-    let text = |text: String| (!text.is_empty()).then_some(text);
+fn read_step(wire: WireStep) -> Step {
+    let non_empty = |text: String| (!text.is_empty()).then_some(text);
     Step {
         tasks: wire.count,
         demand: Room {
@@ -94,8 +95,8 @@
         checkpoints: wire.checkpointing,
         gang: wire.gang,
         rack_local: wire.rack_local,
-        label: text(wire.required_label),
-        data_rack: text(wire.data_rack),
+        label: non_empty(wire.required_label),
+        data_rack: non_empty(wire.data_rack),
         per_worker_max: (wire.max_per_server > 0).then_some(wire.max_per_server),
         copies: wire.speculative,
         lasting: wire.long_running,
--- a/src/platform/machines.rs
+++ b/src/platform/machines.rs
@@ -1,4 +1,4 @@
-//! Orders to the keeper of the machines, and its list.
+//! Orders to the machine manager, and its list of machines.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,13 +13,14 @@
 use super::Client;
 use crate::control::{Machine, MachineOrder, MachineOrderKind, MachineOutcome, MachinePhase};
 
-/// How long an answer is waited for; the keeper may be slow.
-const TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Timeout of a request. The machine manager may be slow.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Carries out an order, which is given to the client at once.
+/// Sends an order. It is passed to the client before the returned future is polled, so that
+/// [`Client::abort`] covers it.
 pub(super) fn order(
     client: &Rc<Client>,
-    keeper: SocketAddr,
+    machine_manager: SocketAddr,
     holder: &str,
     order: MachineOrder,
 ) -> impl Future<Output = MachineOutcome> + use<> {
@@ -34,33 +35,33 @@
         ),
     };
     let request = Request::post(path)
-        .header("host", keeper.to_string())
+        .header("host", machine_manager.to_string())
         .header("content-type", "application/json")
         .header("lease-holder", holder)
         .header("fencing-token", order.fence)
         .body(Full::new(Bytes::from(body.to_string())));
-    let call = request.map(|request| client.call(keeper, request, TIMEOUT));
+    let call = request.map(|request| client.call(machine_manager, request, REQUEST_TIMEOUT));
     async move {
         let machine = order.machine;
         let Ok(call) = call else {
-            tracing::error!(machine, "machine: an order cannot be written");
+            tracing::error!(machine, "machine: cannot build the request for an order");
             return MachineOutcome::Unanswered;
         };
         match call.await {
             Ok((status, body)) => {
                 let answer: Value = serde_json::from_slice(&body).unwrap_or_default();
                 let reason = answer.get("reason").and_then(Value::as_str);
-                read(status.as_u16(), reason)
+                decode_outcome(status.as_u16(), reason)
             }
             Err(err) => {
-                tracing::info!(machine, %err, "machine: an order is not answered");
+                tracing::info!(machine, %err, "machine: an order was not answered");
                 MachineOutcome::Unanswered
             }
         }
     }
 }
 
-fn read(status: u16, reason: Option<&str>) -> MachineOutcome {
+fn decode_outcome(status: u16, reason: Option<&str>) -> MachineOutcome {
     match (status, reason) {
         (200..=299, _) => MachineOutcome::Done,
         (409, Some("fence")) => MachineOutcome::Fenced,
@@ -71,7 +72,7 @@
     }
 }
 
-/// Pages that are read of one list at most; each has some hundred machines.
+/// Maximum number of pages of one list. A page holds some hundred machines.
 const PAGES_MAX: usize = 500;
 
 #[derive(Deserialize)]
@@ -85,12 +86,12 @@
     machine: String,
     pool: String,
     state: String,
-    /// The incarnation that runs on it.
+    /// Incarnation of the worker that runs on the machine.
     id: Option<String>,
 }
 
-/// Reads the whole list; none if a page is missing.
-pub(super) async fn list(client: &Rc<Client>, keeper: SocketAddr) -> Option<Vec<Machine>> {
+/// Fetches the list of machines. Returns `None` if a page is missing.
+pub(super) async fn list(client: &Rc<Client>, machine_manager: SocketAddr) -> Option<Vec<Machine>> {
     let mut machines = Vec::new();
     let mut token: Option<String> = None;
     for _ in 0..PAGES_MAX {
@@ -98,19 +99,19 @@
             Some(token) => format!("/machines?page_token={token}"),
             None => "/machines".to_owned(),
         };
-        let request = Request::get(path).header("host", keeper.to_string());
+        let request = Request::get(path).header("host", machine_manager.to_string());
         let request = request.body(Full::new(Bytes::new())).ok()?;
         let (status, body) = client
-            .call(keeper, request, TIMEOUT)
+            .call(machine_manager, request, REQUEST_TIMEOUT)
             .await
-            .map_err(|err| tracing::info!(%err, "machine: the list is not answered"))
+            .map_err(|err| tracing::info!(%err, "machine: a request for the list was not answered"))
             .ok()?;
         if !status.is_success() {
-            tracing::info!(%status, "machine: the list is refused");
+            tracing::info!(%status, "machine: a request for the list was refused");
             return None;
         }
         let page: Page = serde_json::from_slice(&body)
-            .map_err(|err| tracing::warn!(%err, "machine: the list cannot be read"))
+            .map_err(|err| tracing::warn!(%err, "machine: cannot decode a page of the list"))
             .ok()?;
         machines.extend(page.machines.into_iter().filter_map(read_machine));
         token = match page.next_token {
@@ -123,10 +124,10 @@
     None
 }
 
-/// An entry of another writer names no machine to use.
+/// Decodes an entry of the list. Returns `None` for a malformed entry or an unknown state.
 fn read_machine(entry: Value) -> Option<Machine> {
     let wire: WireMachine = serde_json::from_value(entry)
-        .map_err(|err| tracing::warn!(%err, "machine: an entry cannot be read"))
+        .map_err(|err| tracing::warn!(%err, "machine: skipped a malformed entry of the list"))
         .ok()?;
     let phase = match wire.state.as_str() {
         "up" => MachinePhase::Up,
@@ -134,7 +135,7 @@
         "upkeep" => MachinePhase::Upkeep,
         "down" => MachinePhase::Down,
         other => {
-            tracing::warn!(state = other, "machine: an entry's state is not known");
+            tracing::warn!(state = other, "machine: skipped an entry of unknown state");
             return None;
         }
     };
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,8 +1,7 @@
-//! The adapter to the users' machines: their names, formats and calls.
+//! Adapter to the platform that runs the machines: its names, wire formats and endpoints.
 //!
-//! Nothing here decides. What comes in is decoded once into the product's own types,
-//! whose fields say what they hold; what goes out is encoded from them. No other
-//! module knows the platform's names.
+//! The adapter makes no decisions. It decodes incoming data into the program's own types and
+//! encodes outgoing data from them. No other module uses the platform's names.
 
 mod advisor;
 mod caught_signals;
@@ -11,11 +10,11 @@
 mod configuration;
 mod control_calls;
 mod entry_calls;
-mod incoming;
 mod jobs;
 mod machines;
 mod outside;
 mod reader;
+mod replies;
 mod reports;
 mod serve;
 mod settings;
--- a/src/platform/outside.rs
+++ b/src/platform/outside.rs
@@ -10,40 +10,42 @@
 use crate::model::InstanceName;
 use crate::places::Places;
 
-/// Connections to one worker: one for the renewal that waits there, the others for
-/// short orders, which take a round trip of some milliseconds each.
-const WORKER_CONNECTIONS: usize = 4;
-/// Connections to the keeper or the advisor: as many as orders are open at once, as
-/// either may take seconds to answer.
-const SERVICE_CONNECTIONS: usize = 32;
+/// Maximum number of connections to one worker: one for the long poll of the lease renewal, the
+/// others for short orders, each of which takes a round trip of some milliseconds.
+const MAX_WORKER_CONNECTIONS: usize = 4;
+/// Maximum number of connections to the machine manager or the advisor, one for each request
+/// in flight, because either may take seconds to answer.
+const MAX_SERVICE_CONNECTIONS: usize = 32;
 
-/// How long the kernel keeps an order to the keeper that is not acknowledged. A process that
-/// is suspended cannot throw its open orders away, so its kernel has to, before another
-/// leader can be elected: held up for longer, an order would reach a machine after those of
-/// the successor, and not every keeper checks fencing tokens.
-const ORDER_UNACKNOWLEDGED_MS: u32 = 400;
-const _: () = assert!((ORDER_UNACKNOWLEDGED_MS as u64) < ELECTION_TIMEOUT_MS);
+/// TCP user timeout for orders to the machine manager. A suspended process cannot discard its
+/// orders in flight, so the kernel has to do so before another leader can be elected.
+/// Otherwise a delayed order could reach a machine after the orders of the next leader, and
+/// not every machine manager checks fencing tokens.
+const ORDER_TCP_USER_TIMEOUT_MS: u32 = 400;
+const _: () = assert!((ORDER_TCP_USER_TIMEOUT_MS as u64) < ELECTION_TIMEOUT_MS);
 
-/// The users' platform as the control instances see it.
+/// Access of a control instance to the platform: workers, machine manager and advisor.
 #[derive(Debug)]
 pub struct Platform {
     workers: Rc<Client>,
     services: Rc<Client>,
-    holder: String,
-    keeper: Option<SocketAddr>,
+    lease_holder: String,
+    machine_manager: Option<SocketAddr>,
     advisor: Option<SocketAddr>,
 }
 
 impl Platform {
-    /// The platform that the settings tell of, with places for connections to workers.
+    /// Returns the platform described by the settings. Connections to workers take slots of
+    /// `worker_places`.
     pub fn new(settings: &Settings, worker_places: Places) -> Self {
         Self {
-            workers: Rc::new(Client::within(WORKER_CONNECTIONS, worker_places)),
+            workers: Rc::new(Client::with_places(MAX_WORKER_CONNECTIONS, worker_places)),
             services: Rc::new(
-                Client::new(SERVICE_CONNECTIONS).with_unacknowledged_ms(ORDER_UNACKNOWLEDGED_MS),
+                Client::new(MAX_SERVICE_CONNECTIONS)
+                    .with_tcp_user_timeout_ms(ORDER_TCP_USER_TIMEOUT_MS),
             ),
-            holder: settings.node.clone(),
-            keeper: settings.keeper,
+            lease_holder: settings.node.clone(),
+            machine_manager: settings.machine_manager,
             advisor: settings.advisor,
         }
     }
@@ -55,10 +57,15 @@
     }
 
     fn order_machine(&self, order: MachineOrder) -> Local<MachineOutcome> {
-        match self.keeper {
-            Some(keeper) => {
-                let holder = &self.holder;
-                Box::pin(machines::order(&self.services, keeper, holder, order))
+        match self.machine_manager {
+            Some(machine_manager) => {
+                let holder = &self.lease_holder;
+                Box::pin(machines::order(
+                    &self.services,
+                    machine_manager,
+                    holder,
+                    order,
+                ))
             }
             None => Box::pin(async { MachineOutcome::Overloaded }),
         }
@@ -71,8 +78,8 @@
 
     fn list_machines(&self) -> Local<Option<Vec<Machine>>> {
         let client = Rc::clone(&self.services);
-        let keeper = self.keeper;
-        Box::pin(async move { machines::list(&client, keeper?).await })
+        let machine_manager = self.machine_manager;
+        Box::pin(async move { machines::list(&client, machine_manager?).await })
     }
 
     fn advise(
@@ -84,8 +91,8 @@
         let client = Rc::clone(&self.services);
         let advisor = self.advisor;
         Box::pin(async move {
-            let limit = Duration::from_millis(timeout_ms);
-            advisor::ask(&client, advisor?, step, &workers, limit).await
+            let timeout = Duration::from_millis(timeout_ms);
+            advisor::request_advice(&client, advisor?, step, &workers, timeout).await
         })
     }
 }
--- a/src/platform/incoming.rs
+++ b/src/platform/replies.rs
@@ -1,4 +1,4 @@
-//! What both kinds of listeners share.
+//! HTTP replies that the entry and the control listeners share.
 
 use http::StatusCode;
 use serde_json::{Value, json};
@@ -6,18 +6,19 @@
 use crate::control::Refusal;
 use crate::http::{Reply, set};
 
-/// The answer to a call whose outcome is not known: it may be sent again.
-pub(super) fn unknown(status: StatusCode) -> Reply {
-    let line = "what became of it is not known here; send it again";
-    crate::http::json(status, &json!({ "error": line }))
+/// Returns the reply to a request whose outcome is unknown. The sender may retry it.
+pub(super) fn unknown_outcome(status: StatusCode) -> Reply {
+    let error = "the outcome of the request is unknown; send it again";
+    crate::http::json(status, &json!({ "error": error }))
 }
 
-/// The answer to a call that has no effect.
-pub(super) fn refused(refusal: &Refusal, not_known: StatusCode) -> Reply {
+/// Returns the reply to a request that was refused and had no effect. The status
+/// `not_known_status` stands for [`Refusal::NotKnown`].
+pub(super) fn refused(refusal: &Refusal, not_known_status: StatusCode) -> Reply {
     let status = match refusal {
         Refusal::Wrong(_) => StatusCode::BAD_REQUEST,
         Refusal::NoQueue => StatusCode::NOT_FOUND,
-        Refusal::NotKnown => not_known,
+        Refusal::NotKnown => not_known_status,
         Refusal::NoConfiguration => StatusCode::SERVICE_UNAVAILABLE,
         Refusal::Busy { .. } => StatusCode::SERVICE_UNAVAILABLE,
     };
@@ -29,7 +30,7 @@
     reply
 }
 
-/// A plain success.
-pub(super) fn done(value: &Value) -> Reply {
+/// Returns a successful reply with a JSON body.
+pub(super) fn success(value: &Value) -> Reply {
     crate::http::json(StatusCode::OK, value)
 }
--- a/src/platform/reports.rs
+++ b/src/platform/reports.rs
@@ -1,4 +1,4 @@
-//! Workers' reports.
+//! Decoding of workers' heartbeat reports.
 
 use serde::Deserialize;
 
@@ -8,46 +8,47 @@
 
 #[derive(Deserialize)]
 struct WireReport {
-    /// The pool that the machine is in.
+    /// The machine's pool.
     service: String,
     address: std::net::SocketAddr,
     zone: String,
     state: String,
     seq: u64,
-    capacity: WireRoom,
-    /// The machine's kind, then its rack.
+    capacity: WireResources,
+    /// The machine's kind, followed by its rack.
     #[serde(default)]
     labels: Vec<String>,
     machine: Option<String>,
 }
 
 #[derive(Deserialize)]
-struct WireRoom {
+struct WireResources {
     cpu: u32,
     mem_mb: u32,
     #[serde(default)]
     gpu: u32,
 }
 
-/// Where the rack stands among the labels.
-const RACK_LABEL: usize = 1;
+/// Index of the rack among the labels.
+const RACK_LABEL_INDEX: usize = 1;
 
-/// Reads a report of the worker that its path names; other writers' reports, with
-/// missing fields, other types or unknown states, name no worker to use.
+/// Decodes the report of the worker that is named in the request path. A report with missing
+/// fields, other types or an unknown state is rejected, because it does not describe a usable
+/// worker.
 ///
 /// # Errors
-/// What keeps it from being used.
+/// Returns the reason why the report is rejected.
 pub fn read_report(worker: &str, body: &[u8]) -> Result<Report, String> {
     let wire: WireReport = serde_json::from_slice(body).map_err(|err| err.to_string())?;
     let phase = match wire.state.as_str() {
         "ready" => Phase::Ready,
         "draining" => Phase::Draining,
-        other => return Err(format!("the state {other} is not known")),
+        other => return Err(format!("unknown state {other}; use ready or draining")),
     };
     if worker.is_empty() {
-        return Err("the path names no worker".to_owned());
+        return Err("the path contains no worker name".to_owned());
     }
-    let rack = wire.labels.get(RACK_LABEL).cloned();
+    let rack = wire.labels.get(RACK_LABEL_INDEX).cloned();
     Ok(Report {
         worker: InstanceName::from(worker),
         machine: wire.machine,
--- a/src/platform/serve.rs
+++ b/src/platform/serve.rs
@@ -1,4 +1,4 @@
-//! Puts the pieces of a process together on the users' machines.
+//! Sets up and runs an instance on the platform's machines.
 
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-use super::settings_fault::list;
+use super::settings_fault::join_lines;
 use super::{CaughtSignals, ControlCalls, EntryCalls, Platform, Settings, SettingsFault};
 use crate::control::{
     self, BudgetedPlaces, ConnectionBudget, Desk, Driver, Gateway, Node, NodeSettings, PeerMessage,
@@ -23,44 +23,44 @@
 use crate::model::EntryName;
 use crate::storage::{self, Disk, StorageError};
 
-/// The platform hands out no secret that only instances share, so the key only
-/// tells this protocol from others that knock at its port.
+/// Key of the links. The platform provides no secret that only instances share, so the key
+/// merely distinguishes this protocol from others that connect to its port.
 const LINK_KEY: &[u8] = b"rosemarygauge links, version 1";
-/// The largest body at a control instance: a report has 4 MiB at most, a configuration
-/// less.
-const CONTROL_BODY_BYTES: usize = 4 << 20;
-/// Where metrics are fetched, as the deploy file names it.
+/// Maximum size of a request body at a control instance. A report has at most 4 MiB, a
+/// configuration less.
+const MAX_CONTROL_BODY_BYTES: usize = 4 << 20;
+/// Port of the metrics endpoint. It has to match the deploy file.
 const METRICS_PORT: u16 = 9_464;
-/// An idle connection is kept for as long as the callers' side promises.
-const IDLE: Duration = Duration::from_secs(15);
-/// The last moments of a planned stop, for answers on their way.
-const LINGER: Duration = Duration::from_millis(150);
+/// Time for which an idle connection is kept open, as agreed with the callers.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time at the end of a planned stop in which answers in flight are sent.
+const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Why a process cannot go on.
+/// Error that ends an instance.
 #[derive(Debug, derive_more::Display, derive_more::Error, derive_more::From)]
 pub enum ServeError {
-    /// The settings are wrong; all that is.
-    #[display("{}", list(_0))]
+    /// The settings are invalid. Holds all faults.
+    #[display("{}", join_lines(_0))]
     #[error(ignore)]
     #[from(skip)]
     Settings(Vec<SettingsFault>),
-    /// The policy is wrong; all that is.
-    #[display("{}", list(_0))]
+    /// The policy is invalid. Holds all faults.
+    #[display("{}", join_lines(_0))]
     #[error(ignore)]
     #[from(skip)]
     Policy(Vec<PolicyFault>),
-    /// A listener's address cannot be had.
+    /// A listener cannot be bound to its address.
     #[display(
         "{setting}: cannot listen on {address} ({source}); \
-         give an address of this machine, or end whoever has it"
+         give an address of this machine, or end the process that uses it"
     )]
     #[from(skip)]
     Listen {
-        /// The field of the settings.
+        /// Field of the settings that names the address.
         setting: &'static str,
-        /// What it names.
+        /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the system.
         source: std::io::Error,
     },
     /// A thread or runtime cannot be set up.
@@ -69,7 +69,7 @@
     /// The links cannot be set up.
     #[display("{_0}")]
     Link(LinkError),
-    /// The data folder cannot be used.
+    /// The data folder cannot be opened or written.
     #[display("{_0}")]
     Storage(StorageError),
 }
@@ -85,7 +85,7 @@
 /// Runs a control instance until its planned stop.
 ///
 /// # Errors
-/// It cannot be set up, or its data folder failed.
+/// The instance cannot be set up, or its data folder fails.
 pub fn serve_control(
     settings: Settings,
     policy: Policy,
@@ -97,7 +97,7 @@
         .control
         .ok_or_else(|| missing("listen.control", "an address IP:PORT"))?;
     let (disk, recovered) = Disk::open(&folder)?;
-    let (signals, signalled) = unbounded_channel();
+    let (signals, received_signals) = unbounded_channel();
     let disk = start_disk(disk, signals.clone())?;
     let budget = ConnectionBudget::control(settings.grant);
     let places = budget.places();
@@ -118,25 +118,25 @@
     let node = Node::new(node, recovered, wall.unix_ms(), steady_ms());
     let outside = Rc::new(Platform::new(&settings, places.workers));
     let handler = ControlCalls::new(Arc::clone(&desk), settings.clone()).handler();
-    caught.pass_on(signals, wall.clone())?;
+    caught.forward(signals, wall.clone())?;
     run(async move {
         let (stop, stopped) = watch::channel(false);
         let limits = Limits {
-            body_bytes: CONTROL_BODY_BYTES,
-            head_timeout: IDLE,
+            body_bytes: MAX_CONTROL_BODY_BYTES,
+            head_timeout: IDLE_TIMEOUT,
             ..Limits::default()
         };
-        let listener = listen("listen.control", settings.bound(control))?;
+        let listener = listen("listen.control", settings.bind_address(control))?;
         let server = HttpServer::new("control", listener, limits, handler);
         let server = server.with_places(places.callers);
         desk.metrics().register(server.collectors());
         let server = spawn_local(server.run(stopped.clone()));
         serve_metrics(&settings, &desk, stopped.clone());
         tracing::info!(%control, ?budget, grant = ?settings.grant, "serve: a control instance is up");
-        let driver = Driver::new(desk, calls, signalled, links);
+        let driver = Driver::new(desk, calls, received_signals, links);
         driver.run_control(node, disk, outside, wall).await?;
         stop.send_replace(true);
-        let _ = tokio::time::timeout(LINGER, server).await;
+        let _ = tokio::time::timeout(FINAL_FLUSH_TIMEOUT, server).await;
         Ok(())
     })
 }
@@ -144,7 +144,7 @@
 /// Runs an entry instance until its planned stop.
 ///
 /// # Errors
-/// It cannot be set up.
+/// The instance cannot be set up.
 pub fn serve_entry(settings: Settings, caught: CaughtSignals) -> Result<(), ServeError> {
     let wanted = "an address IP:PORT";
     let front = settings
@@ -153,7 +153,7 @@
     let ready = settings
         .ready
         .ok_or_else(|| missing("listen.ready", wanted))?;
-    let (signals, signalled) = unbounded_channel();
+    let (signals, received_signals) = unbounded_channel();
     let budget = ConnectionBudget::entry(settings.grant);
     let places = budget.places();
     let links = start_links(&settings, PeerClass::Client, &places, signals.clone())?;
@@ -161,44 +161,44 @@
     desk.metrics().register(links.0.stats().collectors());
     let gateway = Gateway::new(settings.seed_names(), rand::random::<u16>().into());
     let grace_ms = settings.timing.grace_ms;
-    caught.pass_on(signals, WallClock::default())?;
+    caught.forward(signals, WallClock::default())?;
     run(async move {
         let (stop, stopped) = watch::channel(false);
         let limits = Limits {
-            head_timeout: IDLE,
+            head_timeout: IDLE_TIMEOUT,
             ..Limits::default()
         };
         let callers = EntryCalls::new(Arc::clone(&desk)).handler();
         let health = health(Arc::clone(&desk));
-        let listener = listen("listen.front", settings.bound(front))?;
+        let listener = listen("listen.front", settings.bind_address(front))?;
         let callers = HttpServer::new("callers", listener, limits, callers);
         let callers = callers.with_places(places.callers);
         desk.metrics().register(callers.collectors());
         let callers = spawn_local(callers.run(stopped.clone()));
-        let listener = listen("listen.ready", settings.bound(ready))?;
+        let listener = listen("listen.ready", settings.bind_address(ready))?;
         spawn_local(HttpServer::new("health", listener, limits, health).run(stopped.clone()));
         serve_metrics(&settings, &desk, stopped.clone());
         tracing::info!(%front, ?budget, grant = ?settings.grant, "serve: an entry instance is up");
-        let driver = Driver::new(desk, calls, signalled, links);
+        let driver = Driver::new(desk, calls, received_signals, links);
         driver.run_entry(gateway, grace_ms).await;
         stop.send_replace(true);
-        let _ = tokio::time::timeout(LINGER, callers).await;
+        let _ = tokio::time::timeout(FINAL_FLUSH_TIMEOUT, callers).await;
         Ok(())
     })
 }
 
-/// Runs all work on this thread.
+/// Runs an instance's work on the current thread.
 ///
-/// As a task of its own: waking what the runtime blocks on, or a `LocalSet` in it, goes
-/// through a descriptor, which costs a write and one more look at the sockets for every
-/// event. Waking a task of the runtime from its own thread costs neither.
+/// The work is spawned as a task. Waking the future passed to `block_on`, or a `LocalSet` in
+/// it, goes through a file descriptor, which costs a write and another poll of the sockets for
+/// every event. Waking a spawned task from the runtime's own thread costs neither.
 fn run(work: impl Future<Output = Result<(), ServeError>> + 'static) -> Result<(), ServeError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build_local(LocalOptions::default())?;
     let ended = runtime.block_on(async { spawn_local(work).await });
     tracing::info!("serve: stopped");
-    // Nobody cancels it, so it ended or panicked, and a panic goes on.
+    // The task is never cancelled, so a join error is a panic, which is propagated.
     ended.unwrap_or_else(|err| std::panic::resume_unwind(err.into_panic()))
 }
 
@@ -229,14 +229,14 @@
     })
 }
 
-/// Serves counters and latencies at [`METRICS_PORT`]. They are no reason to end: where
-/// the port is taken the instance goes on without.
+/// Serves the metrics at [`METRICS_PORT`]. If the port is in use, the instance runs without
+/// metrics.
 fn serve_metrics(settings: &Settings, desk: &Arc<Desk>, stopped: watch::Receiver<bool>) {
-    let address = settings.bound((settings.ip, METRICS_PORT).into());
+    let address = settings.bind_address((settings.ip, METRICS_PORT).into());
     let listener = match listen("metrics", address) {
         Ok(listener) => listener,
         Err(err) => {
-            tracing::warn!(%err, "serve: no metrics");
+            tracing::warn!(%err, "serve: cannot listen for metrics, continuing without them");
             return;
         }
     };
@@ -265,7 +265,7 @@
         limits: places.limits,
         places: places.incoming.clone(),
     };
-    let address = settings.bound((settings.ip, settings.link_port).into());
+    let address = settings.bind_address((settings.ip, settings.link_port).into());
     let listener = listen("port_range", address)?;
     let links = Links::start(conf, listener, move |from, message| {
         signals.send(Signal::Peer(from, message)).is_ok()
@@ -283,7 +283,7 @@
             Ok(token) => Signal::Persisted(token),
             Err(err) => Signal::DiskFailed(err),
         };
-        // The loop has ended if nobody takes it.
+        // Sending fails only after the event loop has ended.
         let _ = signals.send(signal);
     })?;
     Ok(tx)
--- a/src/platform/settings_fault.rs
+++ b/src/platform/settings_fault.rs
@@ -1,42 +1,42 @@
-/// What is wrong with the platform's settings, with the remedy.
+/// Fault in the platform's settings. Its text includes the remedy.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 pub enum SettingsFault {
-    /// The file cannot be read.
+    /// The settings file cannot be read.
     #[display("settings {path}: {cause}; name a file that can be read")]
     Unreadable {
-        /// Where it should be.
+        /// Path of the file.
         path: String,
-        /// Why it cannot.
+        /// Cause given by the system.
         cause: String,
     },
-    /// The file is no JSON.
+    /// The settings are not valid JSON.
     #[display("settings: not JSON ({cause}); fill the template in with all fields as JSON")]
     NotJson {
-        /// Why not.
+        /// Cause given by the JSON parser.
         cause: String,
     },
-    /// A field that is needed is not there.
+    /// A required field is missing.
     #[display("settings: {field} is missing; give {wanted}")]
     Missing {
-        /// The field.
+        /// Dotted path of the field.
         field: String,
-        /// What it should be.
+        /// Description of a valid value.
         wanted: &'static str,
     },
-    /// A field holds something else.
+    /// A field has a wrong value.
     #[display("settings: {field} is {found}; give {wanted}")]
     Wrong {
-        /// The field.
+        /// Dotted path of the field.
         field: String,
-        /// What it holds.
+        /// Its value.
         found: String,
-        /// What it should be.
+        /// Description of a valid value.
         wanted: &'static str,
     },
 }
 
-/// Faults of any kind, a line each.
-pub(super) fn list<T: ToString>(faults: &[T]) -> String {
+/// Returns the texts of the faults, one on each line.
+pub(super) fn join_lines<T: ToString>(faults: &[T]) -> String {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -1,4 +1,4 @@
-//! Orders to workers: how each is written, and how the answer is read.
+//! Orders to workers: encoding of the requests and decoding of the answers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::control::{Ended, Order, OrderKind, OrderOutcome, Rejection, Running};
 use crate::jobs::Ending;
 
-/// Names the incarnation that an order is meant for.
+/// Header with the worker incarnation that an order is addressed to.
 const INCARNATION_HEADER: &str = "expect-instance";
 
 #[derive(Serialize)]
@@ -21,7 +21,7 @@
     task: String,
     attempt: u32,
     spec: &'a str,
-    /// The end of the worker's lease, on its clock; not a deadline of the task.
+    /// End of the worker's lease on the worker's clock. It is not a deadline of the task.
     deadline_ms: u64,
     fencing_token: u64,
     #[serde(skip_serializing_if = "str::is_empty")]
@@ -69,39 +69,40 @@
     finished: Vec<Cell<'a>>,
 }
 
-/// Carries out an order, which is given to the client at once.
+/// Sends an order. It is passed to the client before the returned future is polled, so that
+/// [`Client::abort`] covers it.
 pub(super) fn order(
     client: &Rc<Client>,
     order: Order,
 ) -> impl Future<Output = OrderOutcome> + use<> {
-    let (path, body) = written(&order);
+    let (path, body) = encode(&order);
     let request = Request::post(path)
         .header("host", order.address.to_string())
         .header("content-type", "application/json")
         .header(INCARNATION_HEADER, order.worker.as_str())
         .body(Full::new(Bytes::from(body)));
-    let limit = Duration::from_millis(order.timeout_ms);
-    let call = request.map(|request| client.call(order.address, request, limit));
+    let timeout = Duration::from_millis(order.timeout_ms);
+    let call = request.map(|request| client.call(order.address, request, timeout));
     async move {
         let Ok(call) = call else {
-            tracing::error!(worker = %order.worker, "worker: an order cannot be written");
+            tracing::error!(worker = %order.worker, "worker: cannot build the request for an order");
             return OrderOutcome::Unanswered;
         };
         match call.await {
-            Ok((status, body)) => read(&order.kind, status, &body),
+            Ok((status, body)) => decode_outcome(&order.kind, status, &body),
             Err(ClientError::NotSent) => {
-                tracing::debug!(worker = %order.worker, "worker: an order did not leave");
+                tracing::debug!(worker = %order.worker, "worker: an order was not sent");
                 OrderOutcome::NotSent
             }
             Err(err) => {
-                tracing::debug!(worker = %order.worker, %err, "worker: an order is not answered");
+                tracing::debug!(worker = %order.worker, %err, "worker: an order was not answered");
                 OrderOutcome::Unanswered
             }
         }
     }
 }
 
-fn written(order: &Order) -> (&'static str, Vec<u8>) {
+fn encode(order: &Order) -> (&'static str, Vec<u8>) {
     let fencing_token = order.fence;
     let (path, body) = match &order.kind {
         OrderKind::Start {
@@ -158,10 +159,13 @@
             }),
         ),
     };
-    (path, body.expect("plain data always becomes JSON"))
+    (
+        path,
+        body.expect("the bodies hold only strings and numbers, which always serialize"),
+    )
 }
 
-fn read(kind: &OrderKind, status: StatusCode, body: &[u8]) -> OrderOutcome {
+fn decode_outcome(kind: &OrderKind, status: StatusCode, body: &[u8]) -> OrderOutcome {
     if status.is_success() && matches!(kind, OrderKind::Renew { .. }) {
         return read_listing(body);
     }
@@ -180,40 +184,44 @@
         (429 | 503, _) => Rejection::Unhealthy,
         (400, _) => Rejection::Malformed,
         (code, reason) => {
-            tracing::warn!(code, reason, "worker: an answer is of no known kind");
+            tracing::warn!(
+                code,
+                reason,
+                "worker: unexpected status or reason in an answer"
+            );
             return OrderOutcome::Unanswered;
         }
     };
     OrderOutcome::Rejected { reason, clock_ms }
 }
 
-/// Reads the answer to a renewal; a row that cannot be read is left out.
+/// Decodes the answer to a lease renewal. Rows that cannot be decoded are skipped.
 pub fn read_listing(body: &[u8]) -> OrderOutcome {
     match serde_json::from_slice::<Listing<'_>>(body) {
         Ok(listing) => OrderOutcome::Listed {
             clock_ms: listing.clock_ms,
-            running: rows(&listing.running, read_running),
-            ended: rows(&listing.finished, read_ended),
+            running: read_rows(&listing.running, read_running),
+            ended: read_rows(&listing.finished, read_ended),
         },
         Err(err) => {
-            tracing::warn!(%err, "worker: a listing cannot be read");
+            tracing::warn!(%err, "worker: cannot decode a listing");
             OrderOutcome::Unanswered
         }
     }
 }
 
-fn rows<T>(rows: &[Cell<'_>], read: impl Fn(&Cell<'_>) -> Option<T>) -> Vec<T> {
+fn read_rows<T>(rows: &[Cell<'_>], read: impl Fn(&Cell<'_>) -> Option<T>) -> Vec<T> {
     let read = |row| {
         let found = read(row);
         if found.is_none() {
-            tracing::warn!(?row, "worker: a row of a listing cannot be read");
+            tracing::warn!(?row, "worker: skipped a malformed row of a listing");
         }
         found
     };
     rows.iter().filter_map(read).collect()
 }
 
-/// A row: task, attempt, saved progress, percent, gauge.
+/// Decodes a row: task, attempt, checkpoint, percent, gauge.
 fn read_running(row: &Cell<'_>) -> Option<Running> {
     Some(Running {
         task: row.get(0)?.as_str()?.parse().ok()?,
@@ -224,7 +232,7 @@
     })
 }
 
-/// A row: number, task, attempt, how it ended, saved progress.
+/// Decodes a row: number, task, attempt, outcome, checkpoint.
 fn read_ended(row: &Cell<'_>) -> Option<Ended> {
     let ending = match row.get(3)?.as_str()? {
         "done" => Ending::Done,
