--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -1,4 +1,4 @@
-//! What becomes of connections on which an answer did not come.
+//! The client's connections when responses are late or missing, and when calls are aborted.
 
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -21,15 +21,16 @@
 use super::settings::settings;
 use super::stand_in::read_request;
 
-/// How a connection to the stand-in ended, with the bytes that came before.
+/// How a connection to the stand-in service ended.
 #[derive(Debug, PartialEq)]
-enum End {
+enum ConnectionEnd {
     Closed,
     Reset,
 }
 
-/// A service that reads and never answers; tells how each connection ended.
-fn silent_service() -> (SocketAddr, Receiver<(usize, End)>) {
+/// Starts a service that reads and never answers. It reports the number of bytes read on each
+/// connection and how the connection ended.
+fn unresponsive_service() -> (SocketAddr, Receiver<(usize, ConnectionEnd)>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (ends, ended) = channel();
@@ -37,7 +38,7 @@
         for stream in listener.incoming().flatten() {
             let ends = ends.clone();
             std::thread::spawn(move || {
-                // The test is over if nobody takes it.
+                // Sending fails only after the test has ended.
                 let _ = ends.send(read_all(stream));
             });
         }
@@ -45,15 +46,15 @@
     (address, ended)
 }
 
-fn read_all(mut stream: TcpStream) -> (usize, End) {
+fn read_all(mut stream: TcpStream) -> (usize, ConnectionEnd) {
     let mut read_bytes = 0;
     let mut buffer = [0; 4_096];
     loop {
         match stream.read(&mut buffer) {
-            Ok(0) => return (read_bytes, End::Closed),
+            Ok(0) => return (read_bytes, ConnectionEnd::Closed),
             Ok(count) => read_bytes += count,
             Err(err) if err.kind() == ErrorKind::ConnectionReset => {
-                return (read_bytes, End::Reset);
+                return (read_bytes, ConnectionEnd::Reset);
             }
             Err(err) => panic!("{err}"),
         }
@@ -67,7 +68,7 @@
         .unwrap()
 }
 
-fn on_a_loop(work: impl Future<Output = ()> + 'static) {
+fn run_on_local_runtime(work: impl Future<Output = ()> + 'static) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build_local(LocalOptions::default())
@@ -76,102 +77,108 @@
     runtime.block_on(work).unwrap();
 }
 
-const SOON: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An order is not answered in time and given up. What its connection's kernel still
-/// holds would be sent again when a cut on the way heals, seconds later, and be carried
-/// out after the orders of a newer leader. Only a reset throws it away.
+/// Guards against an order that times out and is executed after the orders of a newer leader.
+/// The kernel would retransmit its data when a network partition heals, seconds later; only a
+/// reset discards the data.
 #[test]
-fn a_call_that_is_given_up_resets_its_connection() {
-    let (address, ended) = silent_service();
-    on_a_loop(async move {
+fn a_call_that_times_out_resets_its_connection() {
+    let (address, ended) = unresponsive_service();
+    run_on_local_runtime(async move {
         let client = Rc::new(Client::new(2));
         let answer = client
             .call(address, request(), Duration::from_millis(100))
             .await;
         assert!(answer.is_err());
-        let end = tokio::task::spawn_blocking(move || ended.recv_timeout(SOON));
+        let end = tokio::task::spawn_blocking(move || ended.recv_timeout(TEST_TIMEOUT));
         let (read_bytes, end) = end.await.unwrap().unwrap();
         assert!(read_bytes > 0);
-        assert_eq!(end, End::Reset);
+        assert_eq!(end, ConnectionEnd::Reset);
     });
 }
 
-/// A leader steps down while orders are open: a second before their own limits would
-/// give them up, a successor may order the same machine. All are thrown away at once,
-/// those that wait for a connection never leave, and later calls go through.
+/// Guards against orders in flight of a leader that has stepped down: its successor may send
+/// orders to the same machine a second before they time out. An abort ends all of them at once,
+/// calls that wait for a connection are never sent, and later calls work.
 #[test]
-fn aborting_resets_all_open_calls_at_once() {
-    let (address, ended) = silent_service();
-    on_a_loop(async move {
+fn aborting_resets_all_calls_in_flight_at_once() {
+    let (address, ended) = unresponsive_service();
+    run_on_local_runtime(async move {
         let client = Rc::new(Client::new(2));
         let calls: Vec<_> = (0..5)
             .map(|_| {
                 let client = Rc::clone(&client);
                 tokio::task::spawn_local(async move {
-                    client.call(address, request(), SOON * 10).await.is_err()
+                    client
+                        .call(address, request(), TEST_TIMEOUT * 10)
+                        .await
+                        .is_err()
                 })
             })
             .collect();
         tokio::time::sleep(Duration::from_millis(200)).await;
         client.abort();
         for call in calls {
-            let given_up = tokio::time::timeout(SOON, call).await;
+            let given_up = tokio::time::timeout(TEST_TIMEOUT, call).await;
             assert!(given_up.expect("the call ends at once").unwrap());
         }
         let ends = tokio::task::spawn_blocking(move || {
-            let first = [(); 2].map(|()| ended.recv_timeout(SOON).unwrap().1);
+            let first = [(); 2].map(|()| ended.recv_timeout(TEST_TIMEOUT).unwrap().1);
             let more = ended.recv_timeout(Duration::from_millis(200));
             (first, more)
         });
         let (first, more) = ends.await.unwrap();
-        assert_eq!(first, [End::Reset, End::Reset]);
-        assert!(more.is_err(), "a call that waited left after all: {more:?}");
+        assert_eq!(first, [ConnectionEnd::Reset, ConnectionEnd::Reset]);
+        assert!(
+            more.is_err(),
+            "a waiting call was sent after the abort: {more:?}"
+        );
         let later = client.call(address, request(), Duration::from_millis(50));
         assert_eq!(later.await.unwrap_err().to_string(), "no answer in time");
     });
 }
 
-/// A leader orders something and steps down in the same go of its loop. The call is made
-/// before all are thrown away, but runs for the first time after that. Did it leave, a
-/// machine could get it after the orders of the next leader.
+/// Guards against an order that reaches a machine after the orders of the next leader. A leader
+/// sends an order and steps down in the same iteration of its event loop: the call is made
+/// before the abort, but its future is first polled after it.
 #[test]
-fn a_call_that_was_made_before_an_abort_never_leaves() {
-    let (address, ended) = silent_service();
-    on_a_loop(async move {
+fn a_call_that_was_made_before_an_abort_is_never_sent() {
+    let (address, ended) = unresponsive_service();
+    run_on_local_runtime(async move {
         let client = Rc::new(Client::new(2));
-        let made = client.call(address, request(), SHORT);
+        let made = client.call(address, request(), CALL_TIMEOUT);
         client.abort();
         assert_eq!(made.await.unwrap_err().to_string(), "aborted");
-        let later = client.call(address, request(), SHORT);
+        let later = client.call(address, request(), CALL_TIMEOUT);
         assert_eq!(later.await.unwrap_err().to_string(), "no answer in time");
         let ends = tokio::task::spawn_blocking(move || {
-            let first = ended.recv_timeout(SOON).unwrap();
-            (first, ended.recv_timeout(SHORT))
+            let first = ended.recv_timeout(TEST_TIMEOUT).unwrap();
+            (first, ended.recv_timeout(CALL_TIMEOUT))
         });
         let (first, more) = ends.await.unwrap();
         assert!(first.0 > 0 && more.is_err(), "{first:?}, {more:?}");
     });
 }
 
-/// The platform with its keeper of machines there.
-fn platform(keeper: SocketAddr) -> Platform {
+/// Returns a platform with its machine manager at this address.
+fn platform(machine_manager: SocketAddr) -> Platform {
     let mut settings = settings("127.0.0.1", 7_000);
-    settings["cloud"] = json!({"address": keeper.to_string()});
+    settings["cloud"] = json!({"address": machine_manager.to_string()});
     Platform::new(
         &Settings::parse(&settings.to_string()).unwrap(),
         Places::only(64),
     )
 }
 
-/// A stop for a worker there.
+/// Returns a stop order for a worker at this address.
 fn order(address: SocketAddr) -> Order {
     Order {
         id: 1,
         address,
         worker: "i-1".into(),
         fence: 7,
-        timeout_ms: SHORT.as_millis() as u64,
+        timeout_ms: CALL_TIMEOUT.as_millis() as u64,
         kind: OrderKind::Stop {
             task: TaskId {
                 job: JobId::from(1),
@@ -184,15 +191,15 @@
     }
 }
 
-/// As above, by the way that the loop takes: an order to a worker and one to the keeper
-/// of the machines. Nobody comes to either.
+/// Guards against the same failure through the interface of the event loop, with an order to a
+/// worker and one to the machine manager. Neither opens a connection.
 #[test]
-fn orders_that_were_given_before_an_abort_never_leave() {
+fn orders_that_were_given_before_an_abort_are_never_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     let address = listener.local_addr().unwrap();
     let platform = platform(address);
-    on_a_loop(async move {
+    run_on_local_runtime(async move {
         let order = platform.order(order(address));
         let machine_order = platform.order_machine(MachineOrder {
             id: 2,
@@ -203,19 +210,19 @@
         platform.abort_orders();
         assert_eq!(order.await, OrderOutcome::Unanswered);
         assert_eq!(machine_order.await, MachineOutcome::Unanswered);
-        tokio::time::sleep(SHORT).await;
+        tokio::time::sleep(CALL_TIMEOUT).await;
         let came = listener.accept().map(|(_, from)| from);
         assert_eq!(came.unwrap_err().kind(), ErrorKind::WouldBlock);
     });
 }
 
-/// A worker answers nothing, and more orders wait for it than it has connections. Those
-/// that left may be carried out; the one that did not get its turn will not, and counts
-/// as what it is.
+/// Guards against wrong outcomes when a worker does not answer and has more orders than
+/// connections. Orders that were sent may be executed and count as unanswered; the one that got
+/// no connection counts as not sent.
 #[test]
-fn an_order_that_did_not_get_its_turn_has_not_left() {
-    let (address, ended) = silent_service();
-    on_a_loop(async move {
+fn an_order_that_got_no_connection_counts_as_not_sent() {
+    let (address, ended) = unresponsive_service();
+    run_on_local_runtime(async move {
         let platform = platform(address);
         let orders = (0..5).map(|_| tokio::task::spawn_local(platform.order(order(address))));
         let mut outcomes = Vec::new();
@@ -226,33 +233,33 @@
         assert_eq!(left, [const { OrderOutcome::Unanswered }; 4]);
         assert_eq!(*last, OrderOutcome::NotSent);
         let ends = tokio::task::spawn_blocking(move || {
-            let first = [(); 4].map(|()| ended.recv_timeout(SOON).unwrap().0 > 0);
-            (first, ended.recv_timeout(SHORT).is_err())
+            let first = [(); 4].map(|()| ended.recv_timeout(TEST_TIMEOUT).unwrap().0 > 0);
+            (first, ended.recv_timeout(CALL_TIMEOUT).is_err())
         });
         assert_eq!(ends.await.unwrap(), ([true; 4], true));
     });
 }
 
-/// A service that answers on a word; tells what happens, in order.
-struct WordedService {
+/// A service that answers a request only when the test releases it, and reports each step.
+struct GatedService {
     address: SocketAddr,
-    /// A request is there whole.
-    asked: Receiver<()>,
-    /// Lets it answer one request.
-    word: Sender<()>,
-    /// An answer has left whole.
+    /// Receives one item for each complete request.
+    requests: Receiver<()>,
+    /// Lets the service answer one request.
+    release: Sender<()>,
+    /// Receives one item for each answer that was written.
     answered: Receiver<()>,
-    /// A connection has ended.
+    /// Receives one item for each connection that ended.
     ended: Receiver<()>,
 }
 
-impl WordedService {
-    /// Takes one connection after the other.
+impl GatedService {
+    /// Starts the service, which handles one connection after the other.
     fn start(body_bytes: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (asks, asked) = channel();
-        let (word, words) = channel();
+        let (received, requests) = channel();
+        let (release, releases) = channel();
         let (answers, answered) = channel();
         let (ends, ended) = channel();
         let mut answer = format!("HTTP/1.1 200 X\r\ncontent-length: {body_bytes}\r\n\r\n");
@@ -262,9 +269,9 @@
                 let mut rdr = BufReader::new(stream.try_clone().unwrap());
                 let mut wtr = stream;
                 while read_request(&mut rdr).is_some() {
-                    // The test is over if nobody takes it.
-                    let _ = asks.send(());
-                    if words.recv().is_err() {
+                    // Sending fails only after the test has ended.
+                    let _ = received.send(());
+                    if releases.recv().is_err() {
                         return;
                     }
                     wtr.write_all(answer.as_bytes()).unwrap();
@@ -275,37 +282,37 @@
         });
         Self {
             address,
-            asked,
-            word,
+            requests,
+            release,
             answered,
             ended,
         }
     }
 
-    /// Lets the loop go on until the next request is there whole.
+    /// Yields to the event loop until the next request was received completely.
     async fn next_request(&self) {
-        while self.asked.try_recv().is_err() {
+        while self.requests.try_recv().is_err() {
             tokio::task::yield_now().await;
         }
     }
 
-    /// Has the request answered and holds the loop until its limit is over.
-    fn answer_unseen(&self, limit: Duration) {
+    /// Lets the service answer and blocks the event loop until the call's timeout has passed.
+    fn answer_while_blocked(&self, limit: Duration) {
         let since = Instant::now();
-        self.word.send(()).unwrap();
-        self.answered.recv_timeout(SOON).unwrap();
+        self.release.send(()).unwrap();
+        self.answered.recv_timeout(TEST_TIMEOUT).unwrap();
         std::thread::sleep((limit * 2).saturating_sub(since.elapsed()));
     }
 }
 
-const SHORT: Duration = Duration::from_millis(300);
-/// Enough for a hundred calls to leave.
-const LONGER: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout in which a hundred calls can be sent.
+const BULK_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-type Called = tokio::task::JoinHandle<Result<usize, String>>;
+type CallHandle = tokio::task::JoinHandle<Result<usize, String>>;
 
-/// Calls; the length of the answer's body, or what went wrong.
-fn call(client: &Rc<Client>, address: SocketAddr, limit: Duration) -> Called {
+/// Makes a call. Returns the length of the response body, or the error's text.
+fn call(client: &Rc<Client>, address: SocketAddr, limit: Duration) -> CallHandle {
     let client = Rc::clone(client);
     tokio::task::spawn_local(async move {
         match client.call(address, request(), limit).await {
@@ -315,21 +322,21 @@
     })
 }
 
-/// An order is answered in time, but the loop is busy with other things (or the process
-/// is suspended) until after the order's limit. Its timer and its answer are then found
-/// at the same time. To give it up would reset a good connection and send the order
-/// again, which is more work for a loop that is already behind.
+/// Guards against discarding a timely answer. The event loop is busy, or the process suspended,
+/// until after the order's timeout, and then finds the timer and the answer at the same time. A
+/// timeout would reset a working connection and send the order again, which is more work for a
+/// loop that is already overloaded.
 #[test]
-fn an_answer_that_came_in_time_is_taken_when_it_is_read_late() {
-    // At once, and in several reads.
+fn an_answer_that_arrived_in_time_is_accepted_when_read_late() {
+    // The first body is read at once, the second in several reads.
     for body_bytes in [2, 60_000] {
-        let service = WordedService::start(body_bytes);
-        on_a_loop(async move {
+        let service = GatedService::start(body_bytes);
+        run_on_local_runtime(async move {
             let client = Rc::new(Client::new(1));
             for _ in 0..3 {
-                let called = call(&client, service.address, SHORT);
+                let called = call(&client, service.address, CALL_TIMEOUT);
                 service.next_request().await;
-                service.answer_unseen(SHORT);
+                service.answer_while_blocked(CALL_TIMEOUT);
                 assert_eq!(called.await.unwrap(), Ok(body_bytes));
             }
             assert!(service.ended.try_recv().is_err(), "a connection was reset");
@@ -337,68 +344,71 @@
     }
 }
 
-/// As above, with many calls at once: the answers are found beside the timers of all
-/// calls, and each takes several turns of the loop to be read whole.
+/// Guards against the same failure with many calls at once: the answers are found together with
+/// the timers of all calls, and each takes several iterations of the event loop to read.
 #[test]
-fn many_answers_that_came_in_time_are_taken_when_they_are_read_late() {
-    let services: Vec<_> = (0..100).map(|_| WordedService::start(9_000)).collect();
-    on_a_loop(async move {
+fn many_answers_that_arrived_in_time_are_accepted_when_read_late() {
+    let services: Vec<_> = (0..100).map(|_| GatedService::start(9_000)).collect();
+    run_on_local_runtime(async move {
         let client = Rc::new(Client::new(1));
-        let call = |s: &WordedService| call(&client, s.address, LONGER);
+        let call = |s: &GatedService| call(&client, s.address, BULK_CALL_TIMEOUT);
         let called: Vec<_> = services.iter().map(call).collect();
         for service in &services {
             service.next_request().await;
         }
         for service in &services {
-            service.word.send(()).unwrap();
+            service.release.send(()).unwrap();
         }
         for service in &services {
-            service.answered.recv_timeout(SOON).unwrap();
+            service.answered.recv_timeout(TEST_TIMEOUT).unwrap();
         }
-        std::thread::sleep(LONGER);
+        std::thread::sleep(BULK_CALL_TIMEOUT);
         for called in called {
             assert_eq!(called.await.unwrap(), Ok(9_000));
         }
     });
 }
 
-/// The loop is held until after an order's limit, and no answer is there. The worker may
-/// be gone: the order is given up at once and its connection reset.
+/// Guards against waiting on for an answer that has not arrived when the event loop was blocked
+/// until after the timeout. The worker may be lost, so the call ends at once and its connection
+/// is reset.
 #[test]
-fn an_answer_that_does_not_come_is_given_up_when_the_loop_was_held() {
-    let (address, ended) = silent_service();
-    on_a_loop(async move {
+fn a_missing_answer_times_out_at_once_after_a_blocked_event_loop() {
+    let (address, ended) = unresponsive_service();
+    run_on_local_runtime(async move {
         let client = Rc::new(Client::new(1));
-        let called = call(&client, address, SHORT);
-        tokio::time::sleep(SHORT / 3).await;
-        std::thread::sleep(SHORT);
+        let called = call(&client, address, CALL_TIMEOUT);
+        tokio::time::sleep(CALL_TIMEOUT / 3).await;
+        std::thread::sleep(CALL_TIMEOUT);
         let since = Instant::now();
         assert_eq!(called.await.unwrap(), Err("no answer in time".to_owned()));
-        assert!(since.elapsed() < SHORT, "{:?}", since.elapsed());
-        let end = tokio::task::spawn_blocking(move || ended.recv_timeout(SOON));
+        assert!(since.elapsed() < CALL_TIMEOUT, "{:?}", since.elapsed());
+        let end = tokio::task::spawn_blocking(move || ended.recv_timeout(TEST_TIMEOUT));
         let (read_bytes, end) = end.await.unwrap().unwrap();
         assert!(read_bytes > 0);
-        assert_eq!(end, End::Reset);
+        assert_eq!(end, ConnectionEnd::Reset);
     });
 }
 
-/// The loop is held until after the limits of two orders, of which the second waits for
-/// the connection of the first. The first one's answer is there and frees the
-/// connection. Were the second to leave now, it would arrive after its sender counts it
-/// as given up, perhaps after the orders of another leader.
+/// Guards against sending an order after its timeout, perhaps after the orders of another
+/// leader. The event loop is blocked until after the timeouts of two orders, the second of which
+/// waits for the connection of the first. The answer to the first one then frees the connection.
 #[test]
-fn a_call_whose_limit_is_over_does_not_leave() {
-    let service = WordedService::start(2);
-    on_a_loop(async move {
+fn a_call_whose_timeout_has_passed_is_not_sent() {
+    let service = GatedService::start(2);
+    run_on_local_runtime(async move {
         let client = Rc::new(Client::new(1));
-        let first = call(&client, service.address, SHORT);
+        let first = call(&client, service.address, CALL_TIMEOUT);
         service.next_request().await;
-        let second = call(&client, service.address, SHORT);
+        let second = call(&client, service.address, CALL_TIMEOUT);
         tokio::task::yield_now().await;
-        service.answer_unseen(SHORT);
+        service.answer_while_blocked(CALL_TIMEOUT);
         assert_eq!(first.await.unwrap(), Ok(2));
         assert_eq!(second.await.unwrap(), Err("not sent in time".to_owned()));
-        assert!(service.asked.recv_timeout(SHORT).is_err(), "it left");
+        assert!(
+            service.requests.recv_timeout(CALL_TIMEOUT).is_err(),
+            "the second call was sent"
+        );
         assert!(service.ended.try_recv().is_err(), "a connection was reset");
     });
 }
--- a/tests/platform/crowd.rs
+++ b/tests/platform/crowd.rs
@@ -1,5 +1,5 @@
-//! Three control instances beside a crowd of clients that connect before they find each
-//! other: the log is founded and a leader stands all the same.
+//! Bootstrap and leader election of three control instances while a crowd of clients takes
+//! their connections first.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
@@ -19,26 +19,27 @@
 use crate::path::{CONTROL_PORT, LINK_PORT, Process, configuration, post, until};
 use crate::settings::settings;
 
-/// Clients, more than twice the links that a listener once took.
-const CROWD: u8 = 150;
+/// Number of clients. It is more than twice the former limit on links of a listener.
+const CLIENTS: u8 = 150;
 const FIRST_CLIENT: u8 = 10;
-/// How long after the last control instance's start a change has to be acknowledged.
-const LEADER_LIMIT: Duration = Duration::from_secs(6);
-/// As the adapter writes it.
+/// Time after the start of the last control instance in which a change has to be acknowledged.
+const LEADER_TIMEOUT: Duration = Duration::from_secs(6);
+/// The adapter's link key.
 const LINK_KEY: &[u8] = b"rosemarygauge links, version 1";
 
-/// Clients that greet all control instances, as often as entry instances do at most, until
-/// it is dropped.
+/// Clients that send `Hello` to all control instances, at the highest rate of entry instances,
+/// until it is dropped.
 struct Crowd {
     clients: Arc<Vec<Links<PeerMessage>>>,
-    _greeting: Sender<()>,
+    /// Dropping it ends the thread that sends the messages.
+    _stop: Sender<()>,
 }
 
-const GREET_EVERY: Duration = Duration::from_millis(400);
+const HELLO_INTERVAL: Duration = Duration::from_millis(400);
 
 impl Crowd {
-    fn gather(at: &OwnLoopback) -> Self {
-        let clients = (FIRST_CLIENT..FIRST_CLIENT + CROWD).map(|last| {
+    fn start(at: &OwnLoopback) -> Self {
+        let clients = (FIRST_CLIENT..FIRST_CLIENT + CLIENTS).map(|last| {
             let address = at.address(last, LINK_PORT);
             let conf = LinksConfig {
                 me: EntryName::from(address.ip().to_string()),
@@ -53,26 +54,26 @@
         let clients: Arc<Vec<_>> = Arc::new(clients.collect());
         let controls = (1..=3).map(|last| at.address(last, LINK_PORT).ip());
         let controls: Vec<_> = controls.map(|ip| EntryName::from(ip.to_string())).collect();
-        let (greeting, over) = channel();
-        let greeters = Arc::clone(&clients);
+        let (stop, stopped) = channel();
+        let senders = Arc::clone(&clients);
         std::thread::spawn(move || {
-            while over.recv_timeout(GREET_EVERY) == Err(RecvTimeoutError::Timeout) {
-                greet(&greeters, &controls);
+            while stopped.recv_timeout(HELLO_INTERVAL) == Err(RecvTimeoutError::Timeout) {
+                send_hellos(&senders, &controls);
             }
         });
         Self {
             clients,
-            _greeting: greeting,
+            _stop: stop,
         }
     }
 
-    fn counted(&self, event: LinkEvent) -> u64 {
-        let counted = self.clients.iter().map(|c| c.stats().total(event));
-        counted.sum()
+    fn total(&self, event: LinkEvent) -> u64 {
+        let totals = self.clients.iter().map(|c| c.stats().total(event));
+        totals.sum()
     }
 }
 
-fn greet(clients: &[Links<PeerMessage>], controls: &[EntryName]) {
+fn send_hellos(clients: &[Links<PeerMessage>], controls: &[EntryName]) {
     for client in clients {
         for control in controls {
             client.send(control, &PeerMessage::Hello { has_folder: false });
@@ -80,22 +81,23 @@
     }
 }
 
+/// Starts one of three control instances.
 pub fn start(at: &OwnLoopback, folder: &Path, last: u8, max_fds: usize) -> Process {
     let control = at.address(last, CONTROL_PORT);
-    let mut core = settings(&control.ip().to_string(), LINK_PORT);
+    let mut conf = settings(&control.ip().to_string(), LINK_PORT);
     let seeds: Vec<String> = (1..=3)
         .map(|last| at.address(last, CONTROL_PORT).to_string())
         .collect();
-    core["seeds"] = json!(seeds);
-    core["limits"]["max_fds"] = json!(max_fds);
-    core["data_dir"] = json!(folder.join(format!("data-{last}")));
+    conf["seeds"] = json!(seeds);
+    conf["limits"]["max_fds"] = json!(max_fds);
+    conf["data_dir"] = json!(folder.join(format!("data-{last}")));
     let own = folder.join(format!("settings-{last}"));
     std::fs::create_dir_all(&own).unwrap();
-    Process::start("control", &own, &core)
+    Process::start("control", &own, &conf)
 }
 
-/// Waits until a change is acknowledged, for which there has to be a leader.
-fn leader_acknowledges(at: &OwnLoopback, version: u64) {
+/// Checks that a change is acknowledged in time, which needs a leader.
+fn assert_leader_acknowledges(at: &OwnLoopback, version: u64) {
     let began = Instant::now();
     let mut change: Value = configuration();
     change["version"] = json!(version);
@@ -106,45 +108,46 @@
         })
     });
     let took = began.elapsed();
-    assert!(took < LEADER_LIMIT, "{took:?}");
+    assert!(took < LEADER_TIMEOUT, "{took:?}");
 }
 
-/// A crowd that has taken its places before the third voter starts; then all three are killed
-/// at once and start again.
-fn crowd_first(max_fds: usize, crowd_is_there: impl Fn(&Crowd) -> bool) {
+/// Starts a crowd that takes its slots before the third voter starts, and checks that a leader is
+/// elected. Then kills all three voters at once, restarts them and checks again.
+fn elects_leader_after_crowd(max_fds: usize, is_connected: impl Fn(&Crowd) -> bool) {
     let folder = tempfile::tempdir().unwrap();
     let at = OwnLoopback::take();
-    let crowd = Crowd::gather(&at);
+    let crowd = Crowd::start(&at);
     let mut first = [1, 2].map(|last| start(&at, folder.path(), last, max_fds));
-    until("the crowd's links", || crowd_is_there(&crowd).then_some(()));
-    // Connections of a crowd that was cut off: open, and nothing comes on them.
-    let silent: Vec<TcpStream> = (0..CROWD)
+    until("the crowd's links", || is_connected(&crowd).then_some(()));
+    // Half-open connections, as a network partition leaves them: open, without any data.
+    let silent: Vec<TcpStream> = (0..CLIENTS)
         .map(|n| {
             let to: SocketAddr = at.address(1 + n % 2, LINK_PORT);
             TcpStream::connect(to).unwrap()
         })
         .collect();
     let mut third = start(&at, folder.path(), 3, max_fds);
-    leader_acknowledges(&at, 1);
+    assert_leader_acknowledges(&at, 1);
 
     for process in first.iter_mut().chain([&mut third]) {
         process.signal("-KILL");
         process.end();
     }
     let _again = [1, 2, 3].map(|last| start(&at, folder.path(), last, max_fds));
-    leader_acknowledges(&at, 2);
+    assert_leader_acknowledges(&at, 2);
     drop(silent);
 }
 
-/// Guards against: 150 clients take the places of the first voters, and no leader stands.
+/// Guards against 150 clients that take the slots of the initial voters, so that no leader is
+/// elected.
 #[test]
-fn a_crowd_of_clients_keeps_no_voter_out() {
-    let links = 2 * u64::from(CROWD);
-    crowd_first(4_096, |crowd| crowd.counted(LinkEvent::Up) >= links);
+fn a_leader_is_elected_beside_a_crowd_of_clients() {
+    let links = 2 * u64::from(CLIENTS);
+    elects_leader_after_crowd(4_096, |crowd| crowd.total(LinkEvent::Up) >= links);
 }
 
-/// Guards against: the same where there are more clients than places.
+/// Guards against the same failure with more clients than slots.
 #[test]
-fn more_clients_than_places_keep_no_voter_out() {
-    crowd_first(640, |crowd| crowd.counted(LinkEvent::Failed) >= 20);
+fn a_leader_is_elected_beside_more_clients_than_slots() {
+    elects_leader_after_crowd(640, |crowd| crowd.total(LinkEvent::Failed) >= 20);
 }
--- a/tests/platform/formats.rs
+++ b/tests/platform/formats.rs
@@ -1,4 +1,4 @@
-//! Jobs, reports and configurations as the platform writes them.
+//! Decoding of jobs, reports, configurations and listings in the platform's formats.
 
 use rosemarygauge::control::{OrderOutcome, Phase};
 use rosemarygauge::jobs::Ending;
@@ -24,10 +24,10 @@
     assert_eq!(read.machine.as_deref(), Some("m-1"));
 }
 
-/// Another writer's report, with a field missing or of another type, a state that is
-/// not known, or bytes that can't be read, names no worker to use.
+/// A report with a missing field, a field of another type, an unknown state or invalid bytes
+/// does not describe a usable worker.
 #[test]
-fn reports_of_other_writers_are_refused() {
+fn malformed_reports_are_rejected() {
     for field in ["service", "address", "zone", "state", "seq", "capacity"] {
         let mut value = report();
         value.as_object_mut().unwrap().remove(field);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_job_is_read_and_absent_fields_are_empty() {
+fn a_job_is_read_with_defaults_for_absent_fields() {
     let text = json!({
         "spec": "(text)",
         "phases": [
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_configuration_is_read_and_kept_word_for_word() {
+fn a_configuration_is_read_and_its_document_is_kept() {
     let text = json!({
         "version": 7,
         "routes": [{
@@ -123,7 +123,7 @@
         ended,
     } = read_listing(body.to_string().as_bytes())
     else {
-        panic!("it cannot be read")
+        panic!("the listing cannot be read")
     };
     assert_eq!(clock_ms, 77);
     assert_eq!(running[0].task, "95d669bf78e7d6d4.0.0.1".parse().unwrap());
@@ -135,11 +135,10 @@
     assert_eq!(ended[0].checkpoint, "c-9");
 }
 
-/// A worker of another writer lists rows of other types, lengths or words. Each is left
-/// out and the rows beside it count: a listing refused as a whole would leave the
-/// worker's lease to run out and all of its tasks to be started again.
+/// Guards against one malformed row that invalidates a whole listing: the worker's lease would
+/// expire and all of its tasks would be started again. Only the malformed row is skipped.
 #[test]
-fn rows_that_cannot_be_read_cost_no_others() {
+fn malformed_rows_are_skipped_and_the_others_are_read() {
     let task = "95d669bf78e7d6d4.0.0.1";
     let good = json!([task, 1, "", 50, 900]);
     let bad = [
@@ -163,15 +162,16 @@
         });
         let OrderOutcome::Listed { running, ended, .. } = read_listing(body.to_string().as_bytes())
         else {
-            panic!("it cannot be read with {bad}")
+            panic!("the listing cannot be read with the row {bad}")
         };
         assert_eq!(running.len(), 2, "{bad}");
         let numbers: Vec<u64> = ended.iter().map(|end| end.number).collect();
         assert_eq!(numbers, [1, 3], "{bad}");
     }
-    let more = json!({"clock_ms": 1, "running": [[task, 1, "", 250, "many", [9]]]});
-    let OrderOutcome::Listed { running, .. } = read_listing(more.to_string().as_bytes()) else {
-        panic!("it cannot be read")
+    let extra_cells = json!({"clock_ms": 1, "running": [[task, 1, "", 250, "many", [9]]]});
+    let OrderOutcome::Listed { running, .. } = read_listing(extra_cells.to_string().as_bytes())
+    else {
+        panic!("the listing cannot be read")
     };
     assert_eq!((running[0].percent, running[0].gauge), (100, None));
     assert_eq!(
--- a/tests/platform/leaderless.rs
+++ b/tests/platform/leaderless.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of a cluster that cannot be founded.
+//! Logs and metrics of a cluster that cannot be bootstrapped.
 
 use serde_json::json;
 
@@ -6,15 +6,16 @@
 use crate::own_loopback::OwnLoopback;
 use crate::path::{CONTROL_PORT, METRICS_PORT, get, until};
 
-/// Guards against: nothing is accepted, and neither log nor metrics tell why.
+/// Guards against a cluster that accepts nothing while neither its log nor its metrics show the
+/// reason. Here the third of three initial voters never starts.
 #[test]
-fn a_founder_names_the_voters_that_it_waits_for() {
+fn the_log_names_missing_initial_voters() {
     let folder = tempfile::tempdir().unwrap();
     let at = OwnLoopback::take();
-    let _founder = start(&at, folder.path(), 1, 4_096);
+    let _first = start(&at, folder.path(), 1, 4_096);
     let second = start(&at, folder.path(), 2, 4_096);
     let missing = json!(format!("[\"{}\"]", at.address(3, CONTROL_PORT).ip()));
-    until("the line", || {
+    until("the log line with the missing voter", || {
         let lines = second.logged("control: nobody leads");
         lines.into_iter().find(|line| {
             line["missing"] == missing
@@ -22,7 +23,7 @@
                 && line["lasted_ms"].as_u64() >= Some(2_000)
         })
     });
-    until("the link's line", || {
+    until("the log line of the link", || {
         let third = at.address(3, crate::path::LINK_PORT).to_string();
         let lines = second.logged("link: down");
         lines
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,5 +1,5 @@
-//! The adapter: what is read and written in the platform's formats, and the whole path
-//! as separate processes with stand-in workers on loopback.
+//! The adapter to the platform: its wire formats, its connections, and end-to-end tests with
+//! separate processes and stand-in workers on loopback.
 #![allow(missing_docs, clippy::unwrap_used)]
 
 #[path = "../own_loopback/mod.rs"]
--- a/tests/platform/path.rs
+++ b/tests/platform/path.rs
@@ -1,5 +1,5 @@
-//! The whole path as separate processes on loopback: an entry instance, a control
-//! instance and stand-in workers.
+//! End-to-end tests with separate processes on loopback: an entry instance, a control instance
+//! and stand-in workers.
 
 use std::ffi::OsStr;
 use std::io::{BufRead, BufReader, Write};
@@ -15,8 +15,8 @@
 use crate::settings::settings;
 use crate::stand_in::StandIn;
 
-/// Longer than anything here takes on a machine that is busy.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of each step, longer than any takes on a busy machine.
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub struct Process {
     child: Child,
@@ -69,7 +69,7 @@
     }
 
     pub fn end(&mut self) -> std::process::ExitStatus {
-        let end = Instant::now() + LIMIT;
+        let end = Instant::now() + STEP_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
@@ -82,7 +82,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It has ended already where a test stopped it.
+        // Fails if the process has ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -124,14 +124,14 @@
     ))
 }
 
-/// Waits for a condition.
+/// Waits until `cond` returns a value.
 pub fn until<T>(what: &str, mut cond: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + LIMIT;
+    let end = Instant::now() + STEP_TIMEOUT;
     loop {
         if let Some(found) = cond() {
             return found;
         }
-        assert!(Instant::now() < end, "it did not come: {what}");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         std::thread::yield_now();
     }
 }
@@ -140,18 +140,18 @@
 pub const CONTROL_PORT: u16 = LINK_PORT + 1;
 const FRONT_PORT: u16 = 7_003;
 const READY_PORT: u16 = 7_004;
-/// As the deploy file names it.
+/// Port of the metrics endpoint, as in the deploy file.
 pub const METRICS_PORT: u16 = 9_464;
 
-/// An entry instance's settings at an address.
-fn edge_settings(at: &OwnLoopback, last: u8) -> Value {
+/// Returns the settings of an entry instance at an address.
+fn entry_settings(at: &OwnLoopback, last: u8) -> Value {
     let front = at.address(last, FRONT_PORT);
-    let mut edge = settings(&front.ip().to_string(), LINK_PORT);
-    edge["listen"] = json!({ "front": front, "ready": at.address(last, READY_PORT) });
-    edge
+    let mut entry_conf = settings(&front.ip().to_string(), LINK_PORT);
+    entry_conf["listen"] = json!({ "front": front, "ready": at.address(last, READY_PORT) });
+    entry_conf
 }
 
-struct Place {
+struct Deployment {
     control: Process,
     entry: Process,
     control_url: String,
@@ -162,21 +162,21 @@
     _addresses: OwnLoopback,
 }
 
-impl Place {
-    /// A control instance that is its own quorum, an entry instance, two workers and
-    /// a configuration. Both instances have addresses of their own on loopback.
+impl Deployment {
+    /// Starts a control instance that is its own quorum, an entry instance and two workers, and
+    /// applies a configuration. Both instances have their own loopback addresses.
     fn start() -> Self {
         let folder = tempfile::tempdir().unwrap();
         let at = OwnLoopback::take();
         let control = at.address(1, CONTROL_PORT);
-        let mut core = settings(&control.ip().to_string(), LINK_PORT);
-        core["data_dir"] = json!(folder.path().join("data"));
-        core["fault_tolerance"] = json!({"machines": 0});
-        let mut edge = edge_settings(&at, 2);
-        edge["seeds"] = core["seeds"].clone();
-        let place = Self {
-            control: Process::start("control", folder.path(), &core),
-            entry: Process::start("entry", folder.path(), &edge),
+        let mut control_conf = settings(&control.ip().to_string(), LINK_PORT);
+        control_conf["data_dir"] = json!(folder.path().join("data"));
+        control_conf["fault_tolerance"] = json!({"machines": 0});
+        let mut entry_conf = entry_settings(&at, 2);
+        entry_conf["seeds"] = control_conf["seeds"].clone();
+        let deployment = Self {
+            control: Process::start("control", folder.path(), &control_conf),
+            entry: Process::start("entry", folder.path(), &entry_conf),
             control_url: format!("http://{control}"),
             entry_url: format!("http://{}", at.address(2, FRONT_PORT)),
             ready_url: format!("http://{}/readyz", at.address(2, READY_PORT)),
@@ -185,20 +185,20 @@
             _addresses: at,
         };
         until("a configuration in force", || {
-            let url = format!("{}/Config.Replace", place.control_url);
+            let url = format!("{}/Config.Replace", deployment.control_url);
             post(&url, &configuration()).filter(|(status, _)| *status == 200)
         });
-        place.report(1);
+        deployment.report(1);
         until("the entry instance's readiness", || {
-            get(&place.ready_url).filter(|(status, _)| *status == 200)
+            get(&deployment.ready_url).filter(|(status, _)| *status == 200)
         });
-        place
+        deployment
     }
 
     fn report(&self, seq: u64) {
         for worker in &self.workers {
             let url = format!("{}/Instances.Heartbeat/{}", self.control_url, worker.name);
-            until("a report that is taken", || {
+            until("an accepted report", || {
                 post(&url, &worker.report(seq)).filter(|(status, _)| *status == 200)
             });
         }
@@ -228,19 +228,23 @@
 }
 
 #[test]
-fn a_job_goes_in_at_an_entry_instance_and_is_run_by_workers() {
-    let mut place = Place::start();
+fn a_job_submitted_at_an_entry_instance_is_run_by_workers() {
+    let mut deployment = Deployment::start();
     let id = "00000000000000a1";
-    let url = place.job_url(id);
+    let url = deployment.job_url(id);
     assert_eq!(post(&url, &job()).map(|a| a.0), Some(200));
     assert_eq!(post(&url, &job()).map(|a| a.0), Some(200));
     let mut seq = 1;
     until("the job's completion", || {
         seq += 1;
-        place.report(seq);
+        deployment.report(seq);
         get(&url).filter(|(_, body)| body.contains("completed"))
     });
-    let mut started: Vec<String> = place.workers.iter().flat_map(StandIn::started).collect();
+    let mut started: Vec<String> = deployment
+        .workers
+        .iter()
+        .flat_map(StandIn::started)
+        .collect();
     started.sort();
     let before = started.len();
     started.dedup();
@@ -250,79 +254,87 @@
         "every task once: {started:?}"
     );
 
-    let unknown = get(&place.job_url("00000000000000a2")).unwrap();
+    let unknown = get(&deployment.job_url("00000000000000a2")).unwrap();
     assert_eq!(unknown.0, 410);
-    let elsewhere = get(&format!("{}/b/", place.entry_url)).unwrap();
+    let elsewhere = get(&format!("{}/b/", deployment.entry_url)).unwrap();
     assert_eq!(elsewhere.0, 404);
-    let pending = get(&format!("{}/a/", place.entry_url)).unwrap();
+    let pending = get(&format!("{}/a/", deployment.entry_url)).unwrap();
     assert_eq!((pending.0, pending.1.trim()), (200, "{\"pending\":0}"));
-    let wrong = post(&place.job_url("00000000000000a3"), &json!({"phases": []})).unwrap();
+    let wrong = post(
+        &deployment.job_url("00000000000000a3"),
+        &json!({"phases": []}),
+    )
+    .unwrap();
     assert_eq!(wrong.0, 400);
 
-    let accepted = until("the line of the acceptance", || {
-        place.control.logged("job: accepted").pop()
+    let accepted = until("the log line of the acceptance", || {
+        deployment.control.logged("job: accepted").pop()
     });
     assert_eq!(accepted["job"], id);
-    assert!(place.control.logged("task: a run ended").len() >= 8);
-    assert!(place.entry.terminate().success());
-    assert!(place.control.terminate().success());
-    until("the line of the stop", || {
-        place.control.logged("serve: stopped").pop()
+    assert!(deployment.control.logged("task: a run ended").len() >= 8);
+    assert!(deployment.entry.terminate().success());
+    assert!(deployment.control.terminate().success());
+    until("the log line of the stop", || {
+        deployment.control.logged("serve: stopped").pop()
     });
 }
 
 #[test]
-fn a_configuration_is_read_back_and_a_wrong_one_refused() {
-    let place = Place::start();
-    let read = get(&format!("{}/Config.Read", place.control_url)).unwrap();
+fn a_configuration_is_read_back_and_an_invalid_one_is_refused() {
+    let deployment = Deployment::start();
+    let read = get(&format!("{}/Config.Read", deployment.control_url)).unwrap();
     assert_eq!((read.0, read.1), (200, configuration().to_string()));
     let mut wrong = configuration();
     wrong["version"] = json!(2);
     wrong["routes"][0]["service"] = json!("nowhere");
-    let refused = post(&format!("{}/Config.Replace", place.control_url), &wrong).unwrap();
+    let refused = post(
+        &format!("{}/Config.Replace", deployment.control_url),
+        &wrong,
+    )
+    .unwrap();
     assert_eq!(refused.0, 400);
     assert!(refused.1.contains("nowhere"), "{}", refused.1);
 }
 
-/// The process is killed and started again: what was acknowledged is there.
+/// Guards against the loss of an acknowledged job when the control instance is killed and
+/// restarted.
 #[test]
 fn an_acknowledged_job_outlives_a_kill() {
-    let mut place = Place::start();
-    let url = place.job_url("00000000000000b1");
+    let mut deployment = Deployment::start();
+    let url = deployment.job_url("00000000000000b1");
     assert_eq!(post(&url, &job()).map(|a| a.0), Some(200));
-    place.control.child.kill().unwrap();
-    place.control.child.wait().unwrap();
-    let file = place._folder.path().join("control.json");
-    let mut core: Value = serde_json::from_slice(&std::fs::read(file).unwrap()).unwrap();
-    core["bootstrap"] = json!(false);
-    place.control = Process::start("control", place._folder.path(), &core);
+    deployment.control.child.kill().unwrap();
+    deployment.control.child.wait().unwrap();
+    let file = deployment._folder.path().join("control.json");
+    let mut control_conf: Value = serde_json::from_slice(&std::fs::read(file).unwrap()).unwrap();
+    control_conf["bootstrap"] = json!(false);
+    deployment.control = Process::start("control", deployment._folder.path(), &control_conf);
     let mut seq = 1;
     until("the job's completion after a kill", || {
         seq += 1;
-        place.report(seq);
+        deployment.report(seq);
         get(&url).filter(|(_, body)| body.contains("completed"))
     });
 }
 
-/// A caller waits at an entry instance that no leader answers, and the instance is
-/// stopped as planned. At the end of its grace the call is still open; ending the
-/// process then broke the connection off, which callers cannot tell from a crash. It
-/// is answered that nothing is known.
+/// Guards against a planned stop that breaks connections, which callers cannot distinguish from
+/// a crash. A call without a leader is still open when the grace period ends; it is answered
+/// that the outcome is unknown.
 #[test]
 fn a_planned_stop_answers_the_calls_that_nobody_answered() {
     let folder = tempfile::tempdir().unwrap();
     let at = OwnLoopback::take();
-    let mut edge = edge_settings(&at, 1);
-    edge["bounds"]["grace_s"] = json!(1);
-    let mut entry = Process::start("entry", folder.path(), &edge);
-    until("the line of the start", || {
+    let mut entry_conf = entry_settings(&at, 1);
+    entry_conf["bounds"]["grace_s"] = json!(1);
+    let mut entry = Process::start("entry", folder.path(), &entry_conf);
+    until("the log line of the start", || {
         entry.logged("serve: an entry instance is up").pop()
     });
     let front = at.address(1, FRONT_PORT);
     let metrics = at.address(1, METRICS_PORT);
     let url = format!("http://{front}/a/00000000000000c1");
     let caller = std::thread::spawn(move || post_within(&url, &job(), "60000"));
-    until("the call among the open ones", || {
+    until("the call in the metrics", || {
         let (_, text) = get(&format!("http://{metrics}/metrics"))?;
         text.contains("rosemarygauge_calls_open 1").then_some(())
     });
@@ -332,7 +344,7 @@
 }
 
 #[test]
-fn wrong_settings_end_the_process_with_a_line_for_each_fault() {
+fn invalid_settings_end_the_process_with_a_line_for_each_fault() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("wrong.json");
     std::fs::write(&file, "{\"node\": 7}").unwrap();
@@ -348,18 +360,18 @@
     }
 }
 
-/// Another process has the address of a listener. The line named neither the address nor
-/// the setting, and told the cause twice, so nobody could tell what to change.
+/// Guards against an error text for a listener address in use that names neither the address nor
+/// the setting and repeats the cause.
 #[test]
-fn a_taken_address_is_named_once_with_its_setting_and_a_remedy() {
+fn an_address_in_use_is_reported_once_with_its_setting_and_a_remedy() {
     let folder = tempfile::tempdir().unwrap();
     let at = OwnLoopback::take();
     let control: SocketAddr = at.address(1, CONTROL_PORT);
     let _taken = TcpListener::bind(control).unwrap();
-    let mut core = settings(&control.ip().to_string(), LINK_PORT);
-    core["data_dir"] = json!(folder.path().join("data"));
+    let mut control_conf = settings(&control.ip().to_string(), LINK_PORT);
+    control_conf["data_dir"] = json!(folder.path().join("data"));
     let file = folder.path().join("taken.json");
-    std::fs::write(&file, core.to_string()).unwrap();
+    std::fs::write(&file, control_conf.to_string()).unwrap();
     let out = Command::new(env!("CARGO_BIN_EXE_rosemarygauge"))
         .args(["platform", "control"])
         .env("ROSEMARYGAUGE_CONFIG", &file)
@@ -373,36 +385,35 @@
     assert_eq!(text.matches("in use").count(), 1, "{text}");
 }
 
-// The settings are to be read again, or the instance to stop, while it starts: on a slow
-// disk it opens its data folder for a second and more. The signals met nobody and did what
-// they do by default: the process was gone without a line, and its planned stop looked
-// like a crash. Here its policy comes from a pipe, which holds the start up.
+/// Guards against a SIGHUP or SIGTERM during the start that ends the process without a log line,
+/// so that a planned stop looks like a crash. On a slow disk, opening the data folder takes a
+/// second or more. Here the start blocks on a policy that is read from a pipe.
 #[test]
-fn signals_during_the_start_are_taken_once_it_is_up() {
+fn signals_during_the_start_are_handled_after_it() {
     let folder = tempfile::tempdir().unwrap();
     let at = OwnLoopback::take();
-    let mut core = settings(&at.address(1, CONTROL_PORT).ip().to_string(), LINK_PORT);
-    core["data_dir"] = json!(folder.path().join("data"));
-    core["fault_tolerance"] = json!({"machines": 0});
+    let mut control_conf = settings(&at.address(1, CONTROL_PORT).ip().to_string(), LINK_PORT);
+    control_conf["data_dir"] = json!(folder.path().join("data"));
+    control_conf["fault_tolerance"] = json!({"machines": 0});
     let pipe = folder.path().join("policy");
     let made = Command::new("mkfifo").arg(&pipe).status().unwrap();
     assert!(made.success());
     let args = [OsStr::new("--policy"), pipe.as_os_str()];
-    let mut control = Process::start_with("control", folder.path(), &core, &args);
+    let mut control = Process::start_with("control", folder.path(), &control_conf, &args);
 
-    // It can be opened once the process has it open.
+    // Opening the pipe for writing blocks until the process has opened it for reading.
     let (opened, open) = std::sync::mpsc::channel();
     std::thread::spawn(move || opened.send(std::fs::File::create(pipe)));
-    let mut policy = open.recv_timeout(LIMIT).unwrap().unwrap();
+    let mut policy = open.recv_timeout(STEP_TIMEOUT).unwrap().unwrap();
     control.signal("-HUP");
     control.signal("-TERM");
-    // A process that the signals have ended does not read it.
+    // Writing fails if the signals have ended the process.
     let _ = policy.write_all(b"{}");
     drop(policy);
 
     let status = control.end();
     assert!(status.success(), "{status}: {:?}", control.lines.lock());
-    until("the lines of its end", || {
+    until("the log line of the stop", || {
         let ended = control.logged("serve: stopped");
         (!ended.is_empty()).then_some(())
     });
--- a/tests/platform/settings.rs
+++ b/tests/platform/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that the platform writes.
+//! Parsing of the settings that the platform writes.
 
 use rosemarygauge::platform::Settings;
 use serde_json::{Value, json};
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn unknown_fields_are_ignored_and_times_read() {
+fn unknown_fields_are_ignored_and_durations_are_read() {
     let text = settings("10.0.0.1", 7_000).to_string();
     let settings = Settings::parse(&text).unwrap();
     assert_eq!(settings.me().as_str(), "10.0.0.1");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn everything_that_is_missing_or_wrong_is_named_in_a_line_each() {
+fn each_missing_or_wrong_field_is_reported_on_its_own_line() {
     let mut value = settings("10.0.0.1", 7_000);
     value["ip"] = json!("nowhere");
     value["seeds"] = json!(["10.0.0.1"]);
--- a/tests/platform/stand_in.rs
+++ b/tests/platform/stand_in.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a worker of the platform, small: it speaks the calls that a control
-//! instance makes, runs tasks by a clock of its own, and reports itself.
+//! A minimal stand-in for a worker of the platform. It serves the requests of a control
+//! instance, simulates the runs of tasks by its own clock, and builds its heartbeat reports.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -13,10 +13,10 @@
 struct Runs {
     fence: u64,
     lease_end_ms: u64,
-    going: BTreeMap<String, (u64, u64)>,
+    running_since: BTreeMap<String, (u64, u64)>,
     ended: Vec<(u64, String, u64)>,
-    next: u64,
-    /// Every start by task.
+    last_number: u64,
+    /// Task of every start that was executed.
     started: Vec<String>,
 }
 
@@ -28,7 +28,7 @@
     start: Instant,
 }
 
-/// How long a task runs.
+/// Duration of a task's run, in milliseconds.
 const RUN_MS: u64 = 120;
 
 impl StandIn {
@@ -50,7 +50,7 @@
         worker
     }
 
-    /// Every start that was carried out, by task.
+    /// Returns the task of every start that was executed.
     pub fn started(&self) -> Vec<String> {
         self.runs.lock().unwrap().started.clone()
     }
@@ -108,9 +108,10 @@
         let task = body["task"].as_str().unwrap_or("").to_owned();
         match path {
             "/run-start" => {
-                if !runs.going.contains_key(&task) {
+                if !runs.running_since.contains_key(&task) {
                     runs.started.push(task.clone());
-                    runs.going.insert(task, (number("attempt"), clock_ms));
+                    runs.running_since
+                        .insert(task, (number("attempt"), clock_ms));
                 }
                 (200, json!({"clock_ms": clock_ms}))
             }
@@ -118,8 +119,7 @@
             "/hold" => {
                 let acked = number("ack_seq");
                 drop(runs);
-                // Waits for an end, at most a fraction of what is asked, as it has no
-                // wake-up.
+                // Polls for an ended run. It waits at most 60 ms, because it has no wake-up.
                 self.wait_for_end(number("wait_ms").min(60));
                 let mut runs = self.runs.lock().unwrap();
                 runs.ended.retain(|(n, ..)| *n > acked);
@@ -142,24 +142,24 @@
 }
 
 impl Runs {
-    /// Ends the runs whose time is over; whether any did.
+    /// Ends the runs whose time is over. Returns whether there were any.
     fn end_due(&mut self, clock_ms: u64) -> bool {
         let due: Vec<String> = self
-            .going
+            .running_since
             .iter()
             .filter(|(_, (_, since))| clock_ms >= since + RUN_MS)
             .map(|(task, _)| task.clone())
             .collect();
         for task in &due {
-            let (attempt, _) = self.going.remove(task).unwrap();
-            self.next += 1;
-            self.ended.push((self.next, task.clone(), attempt));
+            let (attempt, _) = self.running_since.remove(task).unwrap();
+            self.last_number += 1;
+            self.ended.push((self.last_number, task.clone(), attempt));
         }
         !due.is_empty()
     }
 
     fn listing(&self, clock_ms: u64) -> Value {
-        let running = self.going.iter();
+        let running = self.running_since.iter();
         let running: Vec<Value> = running
             .map(|(task, (attempt, _))| json!([task, attempt, "", 50, 900]))
             .collect();
