--- a/src/entry/node/operators.rs
+++ b/src/entry/node/operators.rs
@@ -126,7 +126,7 @@
                 "refused": "change id: it was used before for another change: send a new one"
             }),
             _ => {
-                let line = "the reply to the change was not recognised: send it again under the same change id";
+                let line = "the change was not recognised: send it again under the same id";
                 let answer = OperatorAnswer::Unknown(line.into());
                 return out.push(Effect::AnswerOperator { id, answer });
             }
@@ -266,7 +266,7 @@
         match found {
             Some(value) => OperatorAnswer::Ok(value),
             None => OperatorAnswer::Refused(json!({
-                "refused": "nothing with this name is known: check the name, and ask the entry \
+                "refused": "nothing is known by this name: check it, and ask the entry \
                             instance that took the request"
             })),
         }
--- a/src/jobs/job_id.rs
+++ b/src/jobs/job_id.rs
@@ -22,7 +22,7 @@
 
 /// The error for text that is not a job id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
-#[display("a job id has 16 hexadecimal digits in lower case")]
+#[display("a job's name has 16 hexadecimal digits in lower case")]
 pub struct JobIdFault;
 
 impl FromStr for JobId {
--- a/src/jobs/spec_fault.rs
+++ b/src/jobs/spec_fault.rs
@@ -2,16 +2,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 pub enum SpecFault {
     /// The job has no steps.
-    #[display("the job has no steps: add at least one")]
+    #[display("the job has no step: give one at least")]
     NoStep,
     /// A step has no tasks.
-    #[display("step {step} has no tasks: add at least one")]
+    #[display("step {step} has no task: give one at least")]
     NoTask {
         /// The step's index, from 0.
         step: usize,
     },
     /// A step depends on itself or a later one.
-    #[display("step {step} depends on step {on}: a step can only depend on earlier ones")]
+    #[display("step {step} depends on step {on}: only earlier steps can be named")]
     WrongOrder {
         /// The step's index, from 0.
         step: usize,
@@ -19,7 +19,7 @@
         on: u16,
     },
     /// The payload is over the limit.
-    #[display("the payload has {size_bytes} bytes: at most {limit_bytes} are allowed")]
+    #[display("the payload has {size_bytes} bytes: {limit_bytes} are the most")]
     LargePayload {
         /// Its size, in bytes.
         size_bytes: usize,
@@ -28,7 +28,7 @@
     },
     /// The description is over the limit.
     #[display(
-        "the job takes {size_bytes} bytes: at most {limit_bytes} are allowed, submit it as several jobs"
+        "the job takes {size_bytes} bytes: {limit_bytes} are the most, hand it in as several jobs"
     )]
     Large {
         /// Its size as it is stored, in bytes.
@@ -37,7 +37,7 @@
         limit_bytes: usize,
     },
     /// The job has too many tasks.
-    #[display("the job has {tasks} tasks: at most {limit} are allowed")]
+    #[display("the job has {tasks} tasks: {limit} are the most")]
     ManyTasks {
         /// The number of tasks of one occurrence.
         tasks: usize,
--- a/src/jobs/task_id.rs
+++ b/src/jobs/task_id.rs
@@ -32,7 +32,7 @@
 
 /// The error for text that is not a task id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
-#[display("a task id has the form JOB.OCCURRENCE.STEP.INDEX")]
+#[display("a task's name is JOB.OCCURRENCE.STEP.INDEX")]
 pub struct TaskIdFault;
 
 impl FromStr for TaskId {
--- a/src/link/stats.rs
+++ b/src/link/stats.rs
@@ -45,19 +45,13 @@
 
 impl Default for LinkStats {
     fn default() -> Self {
-        let events = Opts::new("rosemarygauge_links_total", "Link events by kind");
+        let events = Opts::new("rosemarygauge_links_total", "What happened to links");
         let gauge = |name, help| IntGauge::new(name, help).expect("the metric name is valid");
         Self(Arc::new(Collectors {
             events: IntCounterVec::new(events, &["event"])
                 .expect("the metric name and label are valid"),
-            incoming: gauge(
-                "rosemarygauge_links_incoming",
-                "Incoming links of authenticated peers",
-            ),
-            outgoing: gauge(
-                "rosemarygauge_links_outgoing",
-                "Links opened by this instance",
-            ),
+            incoming: gauge("rosemarygauge_links_incoming", "Links of proved peers"),
+            outgoing: gauge("rosemarygauge_links_outgoing", "Links opened from here"),
         }))
     }
 }
--- a/src/platform/control_calls.rs
+++ b/src/platform/control_calls.rs
@@ -47,7 +47,7 @@
         let path = incoming.head.uri.path();
         let call = match parse_call(&incoming.head.method, path, &incoming.body) {
             Ok(Some(call)) => call,
-            Ok(None) => return text(StatusCode::NOT_FOUND, "no such endpoint\n"),
+            Ok(None) => return text(StatusCode::NOT_FOUND, "no such call\n"),
             Err(why) => {
                 tracing::info!(path, why, "control: rejected a malformed call");
                 return refused(&Refusal::Wrong(why), StatusCode::NOT_FOUND);
@@ -98,9 +98,7 @@
         }));
     }
     if let Some(wave) = path.strip_prefix("/wave-get/") {
-        let wave = wave
-            .parse()
-            .map_err(|_| "the path has to end with the number of a wave".to_owned())?;
+        let wave = wave.parse().map_err(|_| "a wave has a number".to_owned())?;
         return Ok(Some(Call::LookAtWave { wave }));
     }
     Ok(match (method, path) {
--- a/src/platform/replies.rs
+++ b/src/platform/replies.rs
@@ -8,7 +8,7 @@
 
 /// Returns the reply to a request whose outcome is unknown. The sender may retry it.
 pub(super) fn unknown_outcome(status: StatusCode) -> Reply {
-    let error = "the outcome of the request is unknown; send it again";
+    let error = "what became of it is not known here; send it again";
     crate::http::json(status, &json!({ "error": error }))
 }
 
--- a/src/platform/reports.rs
+++ b/src/platform/reports.rs
@@ -43,10 +43,10 @@
     let phase = match wire.state.as_str() {
         "ready" => Phase::Ready,
         "draining" => Phase::Draining,
-        other => return Err(format!("unknown state {other}; use ready or draining")),
+        other => return Err(format!("the state {other} is not known")),
     };
     if worker.is_empty() {
-        return Err("the path contains no worker name".to_owned());
+        return Err("the path names no worker".to_owned());
     }
     let rack = wire.labels.get(RACK_LABEL_INDEX).cloned();
     Ok(Report {
