--- a/src/load/harness.rs
+++ b/src/load/harness.rs
@@ -1,16 +1,16 @@
-//! An in-process bench: stand-in workers, an event loop, and an account of what
-//! every caller got. It feeds a [`Dispatcher`] and a [`Naive`] alike, for the
-//! tests and for `measure load`. It is no model of a cluster: a worker runs what
-//! it is given for the time the request needs, and that is all.
+//! An in-process discrete-event simulation with simulated workers, an event loop and
+//! an account of each request's outcome. The tests and `measure load` run both a
+//! [`Dispatcher`] and a [`Naive`] in it. It doesn't model a cluster's network or
+//! machines: a worker only occupies a slot for the run time of each request.
 //!
 //! [`Dispatcher`]: super::Dispatcher
 //! [`Naive`]: super::Naive
 
 mod account;
 mod event;
-mod host;
 mod side;
 mod worker;
+mod worker_state;
 
 use std::collections::BTreeMap;
 
@@ -23,58 +23,59 @@
 pub use worker::{Behaviour, Worker};
 
 use event::Event;
-use host::Host;
+use worker_state::WorkerState;
 
-/// Time between two exchanges of load among entry instances, in milliseconds.
-const EXCHANGE_MS: u64 = 200;
+/// Interval at which the entry instances tell each other their load, in milliseconds.
+const LOAD_EXCHANGE_INTERVAL_MS: u64 = 200;
 
-/// The bench.
+/// A simulation of entry instances and workers.
 #[derive(Debug)]
 pub struct Harness {
-    sides: Vec<Side>,
-    hosts: BTreeMap<InstanceName, Host>,
+    dispatchers: Vec<Side>,
+    workers: BTreeMap<InstanceName, WorkerState>,
     view: View,
-    /// By time, then by the order in which they were added.
+    /// Scheduled events by time, then by the order in which they were scheduled.
     events: BTreeMap<(u64, u64), Event>,
-    added: u64,
+    scheduled_events: u64,
     accounts: BTreeMap<RequestId, Account>,
-    wakes_ms: Vec<u64>,
+    next_wakes_ms: Vec<u64>,
     faults: Vec<String>,
     now_ms: u64,
 }
 
 impl Harness {
-    /// A bench whose workers announce themselves at time 0 to all sides.
-    pub fn new(view: View, workers: Vec<Worker>, sides: Vec<Side>) -> Self {
-        let mut bench = Self {
-            wakes_ms: vec![u64::MAX; sides.len()],
-            sides,
-            hosts: BTreeMap::new(),
+    /// Returns a simulation whose workers report to all dispatchers at time 0.
+    pub fn new(view: View, workers: Vec<Worker>, dispatchers: Vec<Side>) -> Self {
+        let mut simulation = Self {
+            next_wakes_ms: vec![u64::MAX; dispatchers.len()],
+            dispatchers,
+            workers: BTreeMap::new(),
             view: View::default(),
             events: BTreeMap::new(),
-            added: 0,
+            scheduled_events: 0,
             accounts: BTreeMap::new(),
             faults: Vec::new(),
             now_ms: 0,
         };
-        bench.set_view(view);
+        simulation.set_view(view);
         for worker in workers {
-            bench.at(0, Event::Report(worker.name.clone()));
-            let host = Host {
+            simulation.schedule(0, Event::Report(worker.name.clone()));
+            let state = WorkerState {
                 worker: worker.clone(),
                 running: 0,
                 sequence: 0,
                 sent: 0,
             };
-            bench.hosts.insert(worker.name, host);
+            simulation.workers.insert(worker.name, state);
         }
-        if bench.sides.len() > 1 {
-            bench.at(EXCHANGE_MS, Event::Exchange);
+        if simulation.dispatchers.len() > 1 {
+            simulation.schedule(LOAD_EXCHANGE_INTERVAL_MS, Event::LoadExchange);
         }
-        bench
+        simulation
     }
 
-    /// A request arrives at an entry instance; it needs `run_ms`.
+    /// Schedules the arrival of a request, with a run time of `run_ms`, at the entry
+    /// instance with index `entry`.
     pub fn offer(&mut self, at_ms: u64, entry: usize, request: Request, run_ms: u64) {
         let id = request.id;
         let account = Account {
@@ -88,30 +89,31 @@
             entry,
         };
         self.accounts.insert(id, account);
-        self.at(at_ms, Event::Arrive(id));
+        self.schedule(at_ms, Event::Arrive(id));
     }
 
-    /// The caller goes away.
+    /// Schedules the cancellation of a request by its caller.
     pub fn cancel(&mut self, at_ms: u64, id: RequestId) {
-        self.at(at_ms, Event::Cancel(id));
+        self.schedule(at_ms, Event::Cancel(id));
     }
 
-    /// A worker changes how it behaves.
+    /// Schedules a change of a worker's behaviour.
     pub fn behave(&mut self, at_ms: u64, worker: &str, behaviour: Behaviour) {
-        self.at(at_ms, Event::Behave(worker.into(), behaviour));
+        self.schedule(at_ms, Event::Behave(worker.into(), behaviour));
     }
 
-    /// The replicated state changes.
+    /// Schedules a change of the replicated state.
     pub fn change(&mut self, at_ms: u64, view: View) {
-        self.at(at_ms, Event::View(Box::new(view)));
+        self.schedule(at_ms, Event::View(Box::new(view)));
     }
 
-    /// The leader is heard from, or is not any more.
+    /// Schedules a change of whether the dispatchers' view of the replicated state is
+    /// fresh, that is, whether the leader is heard from.
     pub fn fresh(&mut self, at_ms: u64, fresh: bool) {
-        self.at(at_ms, Event::Fresh(fresh));
+        self.schedule(at_ms, Event::Fresh(fresh));
     }
 
-    /// Plays all events up to a time.
+    /// Runs all events up to and including `until_ms`.
     pub fn run(&mut self, until_ms: u64) {
         while let Some(next) = self.events.first_entry() {
             let (at_ms, _) = *next.key();
@@ -120,42 +122,42 @@
             }
             let event = next.remove();
             self.now_ms = at_ms;
-            self.play(event);
+            self.handle_event(event);
         }
         self.now_ms = until_ms;
     }
 
-    /// What became of every request.
+    /// Returns the accounts of all requests.
     pub fn accounts(&self) -> impl Iterator<Item = &Account> {
         self.accounts.values()
     }
 
-    /// What became of one request.
+    /// Returns the account of one request.
     pub fn account(&self, id: u64) -> Option<&Account> {
         self.accounts.get(&RequestId(id))
     }
 
-    /// Requests a worker was sent.
+    /// Returns the number of attempts sent to a worker.
     pub fn sent_to(&self, worker: &str) -> u64 {
-        self.hosts.get(worker).map_or(0, |h| h.sent)
+        self.workers.get(worker).map_or(0, |w| w.sent)
     }
 
-    /// Breaches of what must hold for each dispatch.
+    /// Returns the violations of the invariants of dispatches and answers.
     pub fn faults(&self) -> &[String] {
         &self.faults
     }
 
-    /// An entry instance's dispatcher.
+    /// Returns the dispatcher of the entry instance with index `entry`.
     pub fn side(&self, entry: usize) -> &Side {
-        &self.sides[entry]
+        &self.dispatchers[entry]
     }
 
-    fn at(&mut self, at_ms: u64, event: Event) {
-        self.events.insert((at_ms, self.added), event);
-        self.added += 1;
+    fn schedule(&mut self, at_ms: u64, event: Event) {
+        self.events.insert((at_ms, self.scheduled_events), event);
+        self.scheduled_events += 1;
     }
 
-    fn play(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrive(id) => {
                 if let Some(account) = self.accounts.get(&id) {
@@ -168,21 +170,21 @@
                     self.feed(entry, Input::Cancel(id));
                 }
             }
-            Event::End(attempt) => self.end(&attempt),
-            Event::Report(name) => self.report(&name),
-            Event::Exchange => self.exchange(),
+            Event::AttemptEnd(attempt) => self.end_attempt(&attempt),
+            Event::Report(name) => self.send_report(&name),
+            Event::LoadExchange => self.exchange_loads(),
             Event::Wake(entry) => {
-                self.wakes_ms[entry] = u64::MAX;
+                self.next_wakes_ms[entry] = u64::MAX;
                 self.feed(entry, Input::Tick);
             }
             Event::Behave(name, behaviour) => {
-                if let Some(host) = self.hosts.get_mut(&name) {
-                    host.worker.behaviour = behaviour;
+                if let Some(state) = self.workers.get_mut(&name) {
+                    state.worker.behaviour = behaviour;
                 }
             }
             Event::View(view) => self.set_view(*view),
             Event::Fresh(fresh) => {
-                for entry in 0..self.sides.len() {
+                for entry in 0..self.dispatchers.len() {
                     self.feed(entry, Input::ViewFresh(fresh));
                 }
             }
@@ -191,55 +193,57 @@
 
     fn set_view(&mut self, view: View) {
         self.view = view;
-        for entry in 0..self.sides.len() {
+        for entry in 0..self.dispatchers.len() {
             let view = self.view.clone();
             self.feed(entry, Input::View(view));
         }
     }
 
     fn feed(&mut self, entry: usize, input: Input<'_>) {
-        let actions = self.sides[entry].handle(self.now_ms, input);
+        let actions = self.dispatchers[entry].handle(self.now_ms, input);
         for action in actions {
-            self.act(action);
+            self.apply(action);
         }
-        let Some(wake) = self.sides[entry].next_wake_ms() else {
+        let Some(wake) = self.dispatchers[entry].next_wake_ms() else {
             return;
         };
         let at_ms = wake.max(self.now_ms + 1);
-        if at_ms < self.wakes_ms[entry] {
-            self.wakes_ms[entry] = at_ms;
-            self.at(at_ms, Event::Wake(entry));
+        if at_ms < self.next_wakes_ms[entry] {
+            self.next_wakes_ms[entry] = at_ms;
+            self.schedule(at_ms, Event::Wake(entry));
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
             Action::Dispatch {
                 request,
                 attempt,
                 instance,
                 ..
-            } => self.start(request, attempt, &instance),
+            } => self.start_attempt(request, attempt, &instance),
             Action::Deliver { request, .. } => {
                 if self.accounts.get(&request).is_none_or(|a| a.runs == 0) {
-                    self.faults.push(format!("{request}: delivered, never ran"));
+                    self.faults
+                        .push(format!("{request}: delivered, but it never ran"));
                 }
-                self.close(request, Ending::Answered);
+                self.record_ending(request, Ending::Answered);
             }
             Action::Refuse {
                 request, reason, ..
             } => {
                 let ran = self.accounts.get(&request).is_some_and(|a| a.runs > 0);
                 if ran {
-                    self.faults.push(format!("{request}: not-run, but it ran"));
+                    self.faults
+                        .push(format!("{request}: refused as not-run, but it ran"));
                 }
-                self.close(request, Ending::Refused(reason));
+                self.record_ending(request, Ending::Refused(reason));
             }
-            Action::GiveUpUnknown { request } => self.close(request, Ending::Unknown),
+            Action::GiveUpUnknown { request } => self.record_ending(request, Ending::Unknown),
         }
     }
 
-    fn close(&mut self, id: RequestId, ending: Ending) {
+    fn record_ending(&mut self, id: RequestId, ending: Ending) {
         let now_ms = self.now_ms;
         let Some(account) = self.accounts.get_mut(&id) else {
             return;
@@ -251,15 +255,15 @@
         account.ended = Some((now_ms, ending));
     }
 
-    fn exchange(&mut self) {
+    fn exchange_loads(&mut self) {
         let now_ms = self.now_ms;
         let load = |side: &Side| match side {
-            Side::Dispatcher(side) => side.in_flight(now_ms),
+            Side::Dispatcher(dispatcher) => dispatcher.in_flight(now_ms),
             Side::Naive(_) => Vec::new(),
         };
-        let loads: Vec<_> = self.sides.iter().map(load).collect();
+        let loads: Vec<_> = self.dispatchers.iter().map(load).collect();
         for (from, load) in loads.iter().enumerate() {
-            for to in (0..self.sides.len()).filter(|&to| to != from) {
+            for to in (0..self.dispatchers.len()).filter(|&to| to != from) {
                 let input = Input::PeerLoad {
                     peer: EntryName::from(format!("entry-{from}")),
                     in_flight: load.clone(),
@@ -267,6 +271,6 @@
                 self.feed(to, input);
             }
         }
-        self.at(now_ms + EXCHANGE_MS, Event::Exchange);
+        self.schedule(now_ms + LOAD_EXCHANGE_INTERVAL_MS, Event::LoadExchange);
     }
 }
--- a/src/load/harness/event.rs
+++ b/src/load/harness/event.rs
@@ -1,4 +1,4 @@
-//! What happens on a bench at a time, and how an attempt ends there.
+//! Scheduled events of a simulation, and the results of attempts.
 
 use super::super::{AttemptId, AttemptRefusal, RequestId, View};
 use super::Behaviour;
@@ -8,9 +8,9 @@
 pub(super) enum Event {
     Arrive(RequestId),
     Cancel(RequestId),
-    End(Attempt),
+    AttemptEnd(Attempt),
     Report(InstanceName),
-    Exchange,
+    LoadExchange,
     Wake(usize),
     Behave(InstanceName, Behaviour),
     View(Box<View>),
--- a/src/load/harness/side.rs
+++ b/src/load/harness/side.rs
@@ -1,28 +1,29 @@
-//! What decides on a bench: the product, or the baseline beside it.
+//! The dispatcher that a simulated entry instance runs: the production one or the
+//! naive baseline.
 
 use super::super::{Action, Dispatcher, Input, Naive};
 
-/// What decides.
+/// A dispatcher under simulation.
 #[derive(Debug)]
 pub enum Side {
-    /// The product.
+    /// The production dispatcher.
     Dispatcher(Box<Dispatcher>),
-    /// The baseline.
+    /// The naive baseline.
     Naive(Box<Naive>),
 }
 
 impl Side {
-    /// Feeds one input.
+    /// Handles one input and returns the actions to carry out.
     pub fn handle(&mut self, now_ms: u64, input: Input<'_>) -> Vec<Action> {
         match self {
-            Self::Dispatcher(side) => side.handle(now_ms, input),
-            Self::Naive(side) => side.handle(now_ms, input),
+            Self::Dispatcher(dispatcher) => dispatcher.handle(now_ms, input),
+            Self::Naive(dispatcher) => dispatcher.handle(now_ms, input),
         }
     }
 
     pub(super) fn next_wake_ms(&self) -> Option<u64> {
         match self {
-            Self::Dispatcher(side) => side.next_wake_ms(),
+            Self::Dispatcher(dispatcher) => dispatcher.next_wake_ms(),
             Self::Naive(_) => None,
         }
     }
--- a/src/load/harness/worker.rs
+++ b/src/load/harness/worker.rs
@@ -1,37 +1,37 @@
-//! Stand-in workers and how they behave.
+//! Configuration of simulated workers.
 
 use crate::model::{Capacity, InstanceName, PoolName, RackName, ZoneName};
 
-/// How a worker behaves.
+/// How a worker responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
-    /// Answers after the request's run time times this.
+    /// Answers after the request's run time, multiplied by the slowdown.
     Works {
-        /// 1 for a worker as fast as its pool.
+        /// Factor on the run time; 1 is a worker at its pool's normal speed.
         slowdown: f64,
     },
     /// Answers every request with a failure.
     Fails {
-        /// After this many milliseconds.
+        /// Time from the start to the failure, in milliseconds.
         after_ms: u64,
     },
-    /// Cannot be connected to; what runs is lost.
+    /// Refuses connections; requests that run there are lost.
     Gone,
 }
 
-/// A stand-in worker.
+/// A simulated worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Its name.
+    /// Instance name.
     pub name: InstanceName,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneName,
-    /// Its rack.
+    /// Rack.
     pub rack: RackName,
-    /// The pool it was set up for.
+    /// Pool that it is configured for.
     pub pool: PoolName,
-    /// What it declares, and has.
+    /// Capacity that it reports, and actually has.
     pub capacity: Capacity,
-    /// How it behaves.
+    /// How it responds to requests.
     pub behaviour: Behaviour,
 }
--- a/src/load/harness/host.rs
+++ b/src/load/harness/worker_state.rs
@@ -1,39 +1,38 @@
-//! The workers' part of a bench: what they do with what they are sent, and what
-//! they report.
+//! Simulated workers: how they run, refuse or fail attempts, and what they report.
 
 use super::super::{AttemptId, AttemptRefusal, Input, RequestId};
 use super::event::{Attempt, AttemptResult, Event};
 use super::{Behaviour, Ending, Harness, Worker};
 use crate::model::{Duty, InstanceName, Standing, UpstreamReport};
 
-/// Time between two reports of a worker, in milliseconds.
-const REPORT_MS: u64 = 1_000;
+/// Interval between two reports of a worker, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// Lease that a report carries, in milliseconds.
-const LEASE_MS: u64 = 3_000;
+/// Lease that a report grants its worker, in milliseconds.
+const REPORT_LEASE_MS: u64 = 3_000;
 
 #[derive(Debug)]
-pub(super) struct Host {
+pub(super) struct WorkerState {
     pub(super) worker: Worker,
     pub(super) running: u32,
     pub(super) sequence: u64,
-    /// Requests it was sent.
+    /// Attempts sent to it.
     pub(super) sent: u64,
 }
 
 impl Harness {
-    /// A worker gets a request: runs, refuses or fails it.
-    pub(super) fn start(&mut self, id: RequestId, attempt: AttemptId, name: &InstanceName) {
-        self.check(id, name);
+    /// Starts an attempt on a worker, which runs, refuses or fails it.
+    pub(super) fn start_attempt(&mut self, id: RequestId, attempt: AttemptId, name: &InstanceName) {
+        self.check_dispatch(id, name);
         let now_ms = self.now_ms;
-        let (Some(host), Some(account)) = (self.hosts.get_mut(name), self.accounts.get_mut(&id))
+        let (Some(state), Some(account)) = (self.workers.get_mut(name), self.accounts.get_mut(&id))
         else {
             return;
         };
         account.dispatches += 1;
-        host.sent += 1;
-        let full = host.running >= host.worker.capacity.slots;
-        let (result, after_ms) = match host.worker.behaviour {
+        state.sent += 1;
+        let full = state.running >= state.worker.capacity.slots;
+        let (result, after_ms) = match state.worker.behaviour {
             Behaviour::Gone => (AttemptResult::Refused(AttemptRefusal::ConnectFailed), 1),
             _ if full => (AttemptResult::Refused(AttemptRefusal::Busy), 1),
             Behaviour::Works { slowdown } => {
@@ -43,7 +42,7 @@
             Behaviour::Fails { after_ms } => (AttemptResult::Status(500), after_ms),
         };
         if matches!(result, AttemptResult::Status(_)) {
-            host.running += 1;
+            state.running += 1;
             account.runs += 1;
             if account.runs > 1 && !account.request.idempotent {
                 self.faults.push(format!("{id}: ran twice"));
@@ -56,11 +55,12 @@
             start_ms: now_ms,
             result,
         };
-        self.at(now_ms + after_ms, Event::End(end));
+        self.schedule(now_ms + after_ms, Event::AttemptEnd(end));
     }
 
-    /// What must hold of every dispatch.
-    fn check(&mut self, id: RequestId, name: &InstanceName) {
+    /// Records a violation unless the attempt goes to a serving instance of the pool
+    /// that carries the request's service.
+    fn check_dispatch(&mut self, id: RequestId, name: &InstanceName) {
         let service = self.accounts.get(&id).map(|a| &a.request.service);
         let carrier = service.and_then(|s| self.view.carriers.get(s));
         let instance = self.view.instances.get(name);
@@ -74,14 +74,14 @@
         }
     }
 
-    pub(super) fn end(&mut self, end: &Attempt) {
-        let Some(host) = self.hosts.get_mut(&end.worker) else {
+    pub(super) fn end_attempt(&mut self, end: &Attempt) {
+        let Some(state) = self.workers.get_mut(&end.worker) else {
             return;
         };
         let mut result = end.result;
         if let AttemptResult::Status(_) = result {
-            host.running = host.running.saturating_sub(1);
-            if host.worker.behaviour == Behaviour::Gone {
+            state.running = state.running.saturating_sub(1);
+            if state.worker.behaviour == Behaviour::Gone {
                 result = AttemptResult::Lost;
             }
         }
@@ -90,7 +90,7 @@
         };
         let (request, attempt) = (end.request, end.attempt);
         let run_us = (self.now_ms - end.start_ms) * 1_000;
-        let answers = self.answers(request);
+        let answers_before = self.answer_count(request);
         let input = match result {
             AttemptResult::Status(status) => Input::Finished {
                 request,
@@ -110,17 +110,17 @@
             },
         };
         self.feed(entry, input);
-        let delivered = self.answers(request) > answers;
+        let delivered = self.answer_count(request) > answers_before;
         if delivered && result == AttemptResult::Status(500) {
-            self.relabel(request);
+            self.mark_as_failure(request);
         }
     }
 
-    fn answers(&self, id: RequestId) -> u32 {
+    fn answer_count(&self, id: RequestId) -> u32 {
         self.accounts.get(&id).map_or(0, |a| a.answers)
     }
 
-    fn relabel(&mut self, id: RequestId) {
+    fn mark_as_failure(&mut self, id: RequestId) {
         if let Some(account) = self.accounts.get_mut(&id)
             && let Some((_, ending @ Ending::Answered)) = &mut account.ended
         {
@@ -128,21 +128,21 @@
         }
     }
 
-    pub(super) fn report(&mut self, name: &InstanceName) {
-        let Some(host) = self.hosts.get_mut(name) else {
+    pub(super) fn send_report(&mut self, name: &InstanceName) {
+        let Some(state) = self.workers.get_mut(name) else {
             return;
         };
-        let next = self.now_ms + REPORT_MS;
-        if host.worker.behaviour == Behaviour::Gone {
-            self.at(next, Event::Report(name.clone()));
+        let next_report_ms = self.now_ms + REPORT_INTERVAL_MS;
+        if state.worker.behaviour == Behaviour::Gone {
+            self.schedule(next_report_ms, Event::Report(name.clone()));
             return;
         }
-        host.sequence += 1;
-        let worker = &host.worker;
+        state.sequence += 1;
+        let worker = &state.worker;
         let report = UpstreamReport {
             instance: worker.name.clone(),
             incarnation: 1,
-            sequence: host.sequence,
+            sequence: state.sequence,
             address: String::new(),
             zone: worker.zone.clone(),
             rack: worker.rack.clone(),
@@ -150,16 +150,16 @@
             capacity: worker.capacity,
             pool_epoch: 1,
             standing: Standing::Serving,
-            running: host.running,
+            running: state.running,
             usage_age_ms: 0,
         };
-        for entry in 0..self.sides.len() {
+        for entry in 0..self.dispatchers.len() {
             let input = Input::Report {
                 report: &report,
-                lease_until_ms: self.now_ms + LEASE_MS,
+                lease_until_ms: self.now_ms + REPORT_LEASE_MS,
             };
             self.feed(entry, input);
         }
-        self.at(next, Event::Report(name.clone()));
+        self.schedule(next_report_ms, Event::Report(name.clone()));
     }
 }
--- a/src/load/naive.rs
+++ b/src/load/naive.rs
@@ -1,6 +1,7 @@
-//! The naive dispatcher: one FIFO queue, least connections, no classes, no
-//! fairness, no limits but the slots. It is the baseline of the measurements and
-//! the other side of the differential tests, not for use.
+//! A baseline dispatcher: one FIFO queue, least connections, no classes, no
+//! fairness, and no limit but the upstreams' slots. Measurements and differential
+//! tests compare the [`Dispatcher`](super::Dispatcher) with it; it is not meant for
+//! production use.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,10 +9,10 @@
 
 use super::{Action, AttemptId, Input, Request, RequestId, View};
 
-/// Tries before an idempotent request is given up.
-const ATTEMPTS_MAX: u32 = 3;
+/// Attempts after which an idempotent request is refused.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// A FIFO queue in front of the instance with the fewest requests in flight.
+/// Dispatches from one FIFO queue to the instance with the fewest requests in flight.
 #[derive(Debug, Default)]
 pub struct Naive {
     view: View,
@@ -19,7 +20,7 @@
     queue: VecDeque<RequestId>,
     requests: BTreeMap<RequestId, Tracked>,
     home: Option<ZoneName>,
-    fresh: bool,
+    is_view_fresh: bool,
 }
 
 #[derive(Debug)]
@@ -33,43 +34,43 @@
 struct Tracked {
     request: Request,
     attempt: AttemptId,
-    on: Option<InstanceName>,
+    assigned_to: Option<InstanceName>,
 }
 
 impl Naive {
-    /// A dispatcher of an entry instance in `home`.
+    /// Returns a dispatcher for an entry instance in the zone `home`.
     pub fn new(home: ZoneName) -> Self {
         Self {
             home: Some(home),
-            fresh: true,
+            is_view_fresh: true,
             ..Self::default()
         }
     }
 
-    /// Takes one input and returns what to do.
+    /// Handles one input and returns the actions to carry out.
     pub fn handle(&mut self, now_ms: u64, input: Input<'_>) -> Vec<Action> {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         match input {
             Input::Offer(request) => self.offer(request),
-            Input::Cancel(id) => self.cancel(id, &mut out),
-            Input::Refused { request, .. } => self.again(request, &mut out),
+            Input::Cancel(id) => self.cancel(id, &mut actions),
+            Input::Refused { request, .. } => self.retry(request, &mut actions),
             Input::Finished {
                 request, attempt, ..
             } => {
-                self.end(request);
-                out.push(Action::Deliver { request, attempt });
+                self.remove(request);
+                actions.push(Action::Deliver { request, attempt });
             }
-            Input::Lost { request, .. } => self.lost(request, &mut out),
+            Input::Lost { request, .. } => self.handle_lost_attempt(request, &mut actions),
             Input::Report {
                 report,
                 lease_until_ms,
-            } => self.report(report, lease_until_ms),
+            } => self.update_upstream(report, lease_until_ms),
             Input::View(view) => self.view = view,
-            Input::ViewFresh(fresh) => self.fresh = fresh,
+            Input::ViewFresh(fresh) => self.is_view_fresh = fresh,
             Input::PeerLoad { .. } | Input::PeerGone(_) | Input::Tick => {}
         }
-        self.pump(now_ms, &mut out);
-        out
+        self.dispatch_queued(now_ms, &mut actions);
+        actions
     }
 
     fn offer(&mut self, request: Request) {
@@ -79,54 +80,61 @@
             Tracked {
                 request,
                 attempt: AttemptId(0),
-                on: None,
+                assigned_to: None,
             },
         );
     }
 
-    fn cancel(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        if self.requests.get(&id).is_some_and(|t| t.on.is_none()) {
+    fn cancel(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|t| t.assigned_to.is_none())
+        {
             self.requests.remove(&id);
-            out.push(refuse(id, RefusalReason::Cancelled));
+            actions.push(refuse(id, RefusalReason::Cancelled));
         }
     }
 
-    fn lost(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let repeat = self.requests.get(&id).is_some_and(|t| t.request.idempotent);
-        if repeat {
-            self.again(id, out);
+    fn handle_lost_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let idempotent = self.requests.get(&id).is_some_and(|t| t.request.idempotent);
+        if idempotent {
+            self.retry(id, actions);
         } else {
-            self.end(id);
-            out.push(Action::GiveUpUnknown { request: id });
+            self.remove(id);
+            actions.push(Action::GiveUpUnknown { request: id });
         }
     }
 
-    fn again(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.release(id);
         let Some(tracked) = self.requests.get(&id) else {
             return;
         };
-        if tracked.attempt.0 >= ATTEMPTS_MAX {
+        if tracked.attempt.0 >= MAX_ATTEMPTS {
             self.requests.remove(&id);
-            out.push(refuse(id, RefusalReason::RetryBudget));
+            actions.push(refuse(id, RefusalReason::RetryBudget));
         } else {
             self.queue.push_back(id);
         }
     }
 
     fn release(&mut self, id: RequestId) {
-        let on = self.requests.get_mut(&id).and_then(|t| t.on.take());
-        if let Some(up) = on.and_then(|name| self.upstreams.get_mut(&name)) {
+        let instance = self
+            .requests
+            .get_mut(&id)
+            .and_then(|t| t.assigned_to.take());
+        if let Some(up) = instance.and_then(|name| self.upstreams.get_mut(&name)) {
             up.in_flight = up.in_flight.saturating_sub(1);
         }
     }
 
-    fn end(&mut self, id: RequestId) {
+    fn remove(&mut self, id: RequestId) {
         self.release(id);
         self.requests.remove(&id);
     }
 
-    fn report(&mut self, report: &UpstreamReport, lease_until_ms: u64) {
+    fn update_upstream(&mut self, report: &UpstreamReport, lease_until_ms: u64) {
         let up = self
             .upstreams
             .entry(report.instance.clone())
@@ -139,7 +147,7 @@
         up.lease_until_ms = lease_until_ms;
     }
 
-    fn pump(&mut self, now_ms: u64, out: &mut Vec<Action>) {
+    fn dispatch_queued(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         for _ in 0..self.queue.len() {
             let Some(id) = self.queue.pop_front() else {
                 return;
@@ -149,17 +157,17 @@
             };
             if tracked.request.deadline_ms <= now_ms {
                 self.requests.remove(&id);
-                out.push(refuse(id, RefusalReason::Deadline));
+                actions.push(refuse(id, RefusalReason::Deadline));
                 continue;
             }
-            match self.choose(now_ms, &tracked.request) {
-                Some(name) => out.extend(self.dispatch(id, name)),
+            match self.choose_upstream(now_ms, &tracked.request) {
+                Some(name) => actions.extend(self.dispatch(id, name)),
                 None => self.queue.push_back(id),
             }
         }
     }
 
-    fn choose(&self, now_ms: u64, request: &Request) -> Option<InstanceName> {
+    fn choose_upstream(&self, now_ms: u64, request: &Request) -> Option<InstanceName> {
         let pool = self.view.carriers.get(&request.service)?;
         self.upstreams
             .iter()
@@ -167,7 +175,7 @@
                 up.lease_until_ms > now_ms
                     && up.report.standing == Standing::Serving
                     && up.in_flight < up.report.capacity.slots
-                    && (self.fresh || self.home.as_ref() == Some(&up.report.zone))
+                    && (self.is_view_fresh || self.home.as_ref() == Some(&up.report.zone))
                     && self.view.instances.get(*name).is_some_and(|instance| {
                         instance.pool == *pool && instance.duty == Duty::Serving
                     })
@@ -182,7 +190,7 @@
         let tracked = self.requests.get_mut(&id)?;
         up.in_flight += 1;
         tracked.attempt.0 += 1;
-        tracked.on = Some(name.clone());
+        tracked.assigned_to = Some(name.clone());
         Some(Action::Dispatch {
             request: id,
             attempt: tracked.attempt,
--- a/src/load/overview.rs
+++ b/src/load/overview.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher tells about itself: to peers, operators and metrics.
+//! The dispatcher's reports on its state to peers, operators and metrics.
 
 use crate::model::{InstanceName, RefusalReason};
 
@@ -9,9 +9,9 @@
 use super::{LoadStatus, QueueStatus, RequestId, RetryReason, ServiceStatus, UpstreamStatus};
 
 impl Dispatcher {
-    /// Requests per upstream to tell the other entry instances of, for their
-    /// [`Input::PeerLoad`](super::Input::PeerLoad): those in flight, and one more
-    /// where one was refused lately because all slots were taken.
+    /// Returns the load per upstream to send to the other entry instances as their
+    /// [`Input::PeerLoad`](super::Input::PeerLoad): the requests in flight, plus one
+    /// where the upstream recently refused a request because all slots were taken.
     pub fn in_flight(&self, now_ms: u64) -> Vec<(InstanceName, u32)> {
         self.upstreams
             .by_name()
@@ -20,27 +20,32 @@
             .collect()
     }
 
-    /// Requests that wait or run.
+    /// Returns the number of requests that are queued or in flight.
     pub fn pending(&self) -> usize {
         self.requests.len()
     }
 
-    /// The latest decisions about a request, oldest first.
+    /// Returns the recorded decisions about a request, oldest first. Only the latest
+    /// decisions over all requests are kept.
     pub fn explain(&self, request: RequestId) -> Vec<TrailEntry> {
-        self.trail.of(request)
+        self.trail.for_request(request)
     }
 
-    /// All that is known now.
+    /// Returns a snapshot of queues, upstreams, refusals and retries.
     pub fn status(&self, now_ms: u64) -> LoadStatus {
         let refusals = RefusalReason::ALL.into_iter();
         let retries = RetryReason::ALL.into_iter();
         LoadStatus {
             entry: Some(self.settings.me.clone()),
-            services: self.services.iter().map(|s| self.of_service(s)).collect(),
+            services: self
+                .services
+                .iter()
+                .map(|s| self.service_status(s))
+                .collect(),
             upstreams: self
                 .upstreams
                 .by_name()
-                .map(|up| of_upstream(now_ms, up))
+                .map(|up| upstream_status(now_ms, up))
                 .collect(),
             sick_pools: self.upstreams.sick_pools(now_ms),
             refusals: refusals
@@ -52,22 +57,22 @@
         }
     }
 
-    fn of_service(&self, load: &ServiceLoad) -> ServiceStatus {
+    fn service_status(&self, load: &ServiceLoad) -> ServiceStatus {
         let zones = self.upstreams.zones.iter().enumerate();
         ServiceStatus {
             service: load.name.clone(),
-            urgent: of_queue(load, 0),
-            patient: of_queue(load, 1),
+            urgent: queue_status(load, 0),
+            patient: queue_status(load, 1),
             run_ms: load.run.mean_ms(),
             run_high_ms: load.run.high_ms(),
             weights: zones
-                .map(|(at, zone)| (zone.clone(), load.weights.get(at)))
+                .map(|(index, zone)| (zone.clone(), load.weights.get(index)))
                 .collect(),
         }
     }
 }
 
-fn of_queue(load: &ServiceLoad, class: usize) -> QueueStatus {
+fn queue_status(load: &ServiceLoad, class: usize) -> QueueStatus {
     let queue = &load.queues[class];
     let (teams, callers) = queue.breadth();
     QueueStatus {
@@ -79,11 +84,11 @@
     }
 }
 
-fn of_upstream(now_ms: u64, up: &Upstream) -> UpstreamStatus {
+fn upstream_status(now_ms: u64, up: &Upstream) -> UpstreamStatus {
     UpstreamStatus {
         instance: up.name.clone(),
         in_flight: up.in_flight(),
-        foreign: up.foreign(now_ms).requests,
+        in_flight_elsewhere: up.foreign(now_ms).requests,
         limit: up.limit.get(),
         slowness: up.limit.ratio(),
         health: up.record.health(),
--- a/src/load/status.rs
+++ b/src/load/status.rs
@@ -2,50 +2,52 @@
 
 use super::{Health, RetryReason};
 
-/// What a dispatcher knows at one moment, for operators and metrics.
+/// Snapshot of a dispatcher's state, for operators and metrics.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadStatus {
-    /// The entry instance.
+    /// Entry instance that the dispatcher belongs to.
     pub entry: Option<EntryName>,
     /// Queues and run times by service.
     pub services: Vec<ServiceStatus>,
-    /// Upstreams that are known, by name.
+    /// Known upstreams, sorted by name.
     pub upstreams: Vec<UpstreamStatus>,
     /// Pools in which more upstreams fail than may be ejected.
     pub sick_pools: Vec<PoolName>,
     /// Requests refused since the start, by reason.
     pub refusals: Vec<(RefusalReason, u64)>,
-    /// Requests tried again since the start, by reason.
+    /// Retries since the start, by reason.
     pub retries: Vec<(RetryReason, u64)>,
 }
 
 /// One service as a dispatcher sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceStatus {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Waiting and running urgent requests.
+    /// Queued and in-flight urgent requests.
     pub urgent: QueueStatus,
-    /// Waiting and running patient requests.
+    /// Queued and in-flight patient requests.
     pub patient: QueueStatus,
-    /// Learnt mean run time in milliseconds.
+    /// Learned mean run time, in milliseconds.
     pub run_ms: f64,
-    /// Run time that few requests exceed, in milliseconds.
+    /// Learned upper bound of the run time, which few requests exceed, in
+    /// milliseconds.
     pub run_high_ms: f64,
-    /// Present weight by zone, on its way to the rows'.
+    /// Current weight by zone, which shifts gradually to the weight in the
+    /// configuration rows.
     pub weights: Vec<(ZoneName, f64)>,
 }
 
-/// One queue.
+/// State of the queue of one service and class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QueueStatus {
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: usize,
-    /// Teams that wait.
+    /// Number of teams with queued requests.
     pub teams: usize,
-    /// Callers that wait.
+    /// Number of callers with queued requests.
     pub callers: usize,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: u32,
     /// Estimated wait of a new request at the end of the queue, in milliseconds.
     pub wait_ms: f64,
@@ -54,18 +56,19 @@
 /// One upstream as a dispatcher sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamStatus {
-    /// The instance.
+    /// Name of the upstream's instance.
     pub instance: InstanceName,
-    /// Requests in flight from here.
+    /// Requests in flight from this entry instance.
     pub in_flight: u32,
-    /// Requests in flight from other entry instances, as far as known.
-    pub foreign: u32,
-    /// Learnt limit of requests at once.
+    /// Requests in flight from other entry instances, as far as they have reported
+    /// them.
+    pub in_flight_elsewhere: u32,
+    /// Learned limit on concurrent requests.
     pub limit: u32,
-    /// How many times longer than usual requests run there.
+    /// Ratio of the run times there to the usual run times.
     pub slowness: f64,
-    /// What it may be given.
+    /// Health, which decides whether it gets requests.
     pub health: Health,
-    /// Whether its lease, duty and standing let it take requests.
+    /// Whether its lease, duty and standing allow it to take requests.
     pub usable: bool,
 }
--- a/src/load/trail.rs
+++ b/src/load/trail.rs
@@ -1,4 +1,4 @@
-//! What was decided about each request, for `explain request`.
+//! Audit trail of the latest decisions about requests, for `explain request`.
 
 use std::collections::VecDeque;
 
@@ -6,58 +6,60 @@
 
 use super::{AttemptId, RequestId, RetryReason};
 
-/// Decisions kept: at 1,000 requests a second about the last second or two, in
-/// less than a megabyte.
-const KEPT: usize = 4_096;
+/// Number of decisions kept: about the last one or two seconds at 1,000 requests per
+/// second, in less than a megabyte.
+const MAX_DECISIONS: usize = 4_096;
 
 /// One decision about a request.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Decision {
-    /// Let in, with the wait that was expected.
+    /// Admitted to the queue.
     #[display("queued, expected to wait {wait_ms} ms")]
     Queued {
-        /// Expected wait in milliseconds.
+        /// Estimated time in the queue, in milliseconds.
         wait_ms: u64,
     },
-    /// Sent out.
+    /// Sent to an upstream.
     #[display("attempt {attempt} to {instance} after {waited_ms} ms: {why}")]
     Dispatched {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptId,
-        /// Where to.
+        /// Instance that it was sent to.
         instance: InstanceName,
-        /// Time since it arrived, in milliseconds.
+        /// Time since the request's arrival, in milliseconds.
         waited_ms: u64,
-        /// Why there.
+        /// Reason for the choice of the instance.
         why: Placement,
     },
-    /// Put back to be tried again.
+    /// Queued again for a retry.
     #[display("tried again: {_0}")]
     Retried(RetryReason),
-    /// Refused.
+    /// Refused without being run.
     #[display("refused: {_0}")]
     Refused(RefusalReason),
-    /// Answered with what the attempt brought.
+    /// Answered with the result of an attempt.
     #[display("answered by attempt {_0}")]
     Delivered(AttemptId),
-    /// Answered that it may have run.
+    /// Answered with an unknown outcome: it may have run.
     #[display("outcome unknown")]
     Unknown,
-    /// Cancelled in flight: its slot stays taken until the attempt ends.
+    /// Cancelled in flight; its slot stays occupied until the attempt ends.
     #[display("cancelled in flight")]
     CancelledInFlight,
 }
 
-/// Why a request went where it went.
+/// Why an instance was chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, derive_more::Display)]
 pub enum Placement {
-    /// The zone its weights name; less loaded of those drawn.
+    /// In the zone that the weights select, the less loaded of the instances drawn.
     #[display("planned zone, less loaded of those drawn")]
     Planned,
-    /// The planned zone was full and waiting would have cost more.
+    /// Spilled to another zone: the planned zone was full, and waiting for it would
+    /// have cost more.
     #[display("spilled from a full zone")]
     Spilled,
-    /// One request at a time to see whether the upstream works again.
+    /// To an upstream on probation, which gets one request at a time until it has
+    /// proved to have recovered.
     #[display("probe")]
     Probe,
 }
@@ -65,15 +67,15 @@
 /// A decision with its time and request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrailEntry {
-    /// When, on the dispatcher's clock.
+    /// Time on the dispatcher's clock, in milliseconds.
     pub at_ms: u64,
-    /// Which request.
+    /// Request that the decision is about.
     pub request: RequestId,
-    /// What.
+    /// The decision.
     pub decision: Decision,
 }
 
-/// The latest decisions.
+/// Ring of the latest decisions over all requests.
 #[derive(Debug, Default)]
 pub(super) struct Trail {
     entries: VecDeque<TrailEntry>,
@@ -81,7 +83,7 @@
 
 impl Trail {
     pub(super) fn add(&mut self, at_ms: u64, request: RequestId, decision: Decision) {
-        if self.entries.len() >= KEPT {
+        if self.entries.len() >= MAX_DECISIONS {
             self.entries.pop_front();
         }
         self.entries.push_back(TrailEntry {
@@ -91,7 +93,7 @@
         });
     }
 
-    pub(super) fn of(&self, request: RequestId) -> Vec<TrailEntry> {
+    pub(super) fn for_request(&self, request: RequestId) -> Vec<TrailEntry> {
         self.entries
             .iter()
             .filter(|e| e.request == request)
