--- a/tests/load.rs
+++ b/tests/load.rs
@@ -1,4 +1,4 @@
-//! What callers get under each pattern of load, played on the bench.
+//! Checks the outcomes for callers under each pattern of load, in the simulation.
 #![allow(missing_docs, clippy::unwrap_used)]
 
 use rosemarygauge::load::harness::{Behaviour, Side};
@@ -7,32 +7,33 @@
 use rosemarygauge::load::{Dispatcher, Health};
 use rosemarygauge::model::Class;
 
-fn sound(played: &Played) -> Figures {
+fn figures_without_violations(played: &Played) -> Figures {
     assert_eq!(played.scenario.bench.faults(), &[] as &[String]);
     played.figures()
 }
 
 fn dispatcher(scenario: &Scenario) -> &Dispatcher {
     match scenario.bench.side(0) {
-        Side::Dispatcher(side) => side,
-        Side::Naive(_) => panic!("not the naive one"),
+        Side::Dispatcher(dispatcher) => dispatcher,
+        Side::Naive(_) => panic!("the test runs the production dispatcher"),
     }
 }
 
 #[test]
 fn urgent_requests_answer_while_patient_work_saturates() {
-    // The caller sees its eligibility check frozen behind archiving. Patient jobs
-    // arrive at more than the pool can do, and each holds a slot for 4 s. Without
-    // headroom all 80 slots hold one when an urgent request arrives, and it waits
-    // for one to end although it goes first in the queue.
-    let alone = sound(&plays::urgent_beside_patient(Kind::Dispatcher, 1, false));
+    // Guards against urgent requests that wait for patient jobs to end. Patient jobs
+    // arrive above the pool's capacity, and each occupies a slot for 4 s. Without
+    // headroom they occupy all 80 slots when an urgent request arrives; although it
+    // is first in the queue, it has to wait until one ends.
+    let alone =
+        figures_without_violations(&plays::urgent_beside_patient(Kind::Dispatcher, 1, false));
     let beside = plays::urgent_beside_patient(Kind::Dispatcher, 1, true);
-    let urgent = sound(&beside);
+    let urgent = figures_without_violations(&beside);
     assert!(urgent.p99_ms <= 2 * alone.p99_ms, "{urgent:?}");
     assert_eq!(
         beside.all().good,
         beside.all().offered,
-        "patient work ends too"
+        "not all patient jobs were answered in time"
     );
     let naive = plays::urgent_beside_patient(Kind::Naive, 1, true).figures();
     assert!(naive.p99_ms > 10 * alone.p99_ms, "{naive:?}");
@@ -40,24 +41,25 @@
 
 #[test]
 fn patient_work_does_not_starve_beside_urgent_work() {
-    // The weekly report never comes. Urgent requests arrive at 1.5 times what the
-    // pool can do, so one is always there to go first. The guaranteed eighth of
-    // 80 slots does 25 jobs of 400 ms a second; 10 arrive.
-    let patient = sound(&plays::patient_beside_urgent(Kind::Dispatcher, 1));
+    // Guards against starvation of patient jobs. Urgent requests arrive at 1.5 times
+    // the pool's capacity, so one with priority is always queued. The eighth of the
+    // 80 slots that is guaranteed to patient work handles 25 jobs of 400 ms per
+    // second; 10 arrive.
+    let patient = figures_without_violations(&plays::patient_beside_urgent(Kind::Dispatcher, 1));
     assert_eq!(patient.good, patient.offered);
     assert!(patient.p99_ms < 1_200, "{patient:?}");
 }
 
 #[test]
 fn saturation_costs_no_goodput() {
-    // At 5 times capacity all slots are busy and no caller gets an answer in time:
-    // what is served has waited past its deadline. Most must be refused at the
-    // door, at once, and of what is let in nearly all must be answered in time.
+    // Guards against congestion collapse: at 5 times capacity all slots are busy, but
+    // the requests served have waited past their deadlines. Most requests must be
+    // refused on arrival, and nearly all admitted ones must be answered in time.
     let play = |factor| plays::saturation(Kind::Dispatcher, 2, 10, factor);
     let at_capacity = play(1.0).goodput_per_s(1_000, 5_000);
     for factor in [2.0, 5.0] {
         let played = play(factor);
-        let figures = sound(&played);
+        let figures = figures_without_violations(&played);
         assert!(played.goodput_per_s(1_000, 5_000) >= 0.95 * at_capacity);
         assert!(figures.refused_late * 100 < figures.refused, "{figures:?}");
         assert!(
@@ -68,22 +70,24 @@
 }
 
 #[test]
-fn one_caller_with_most_requests_hurts_no_other() {
-    // One caller sends 90 % of three times the capacity. Served in the order of
-    // arrival, nine of ten slots are its own and the others' requests time out.
+fn one_caller_with_most_requests_starves_no_other() {
+    // Guards against unfair queueing. One caller sends 90 % of a load of three times
+    // the capacity. Served in order of arrival, it occupies nine of ten slots, and
+    // the other callers' requests time out.
     let played = plays::heavy_caller(Kind::Dispatcher, 3, 10);
-    let light = sound(&played);
+    let light = figures_without_violations(&played);
     assert!(light.good_part() >= 0.95, "{light:?}");
     assert!(played.goodput_per_s(1_000, 5_000) >= 0.95 * plays::capacity_per_s(10));
 }
 
 #[test]
 fn a_worker_that_fails_everything_attracts_no_load() {
-    // A tenth of the callers get failures at first, then nearly half: the worker
-    // that fails each request within 1 ms is always the idlest of the ten.
+    // Guards against a failing worker that attracts load. A worker that fails each
+    // request within 1 ms is always the least loaded of the ten, so the failures grow
+    // from a tenth of the requests to nearly half.
     for idempotent in [true, false] {
         let played = plays::failing_worker(Kind::Dispatcher, 4, idempotent);
-        let figures = sound(&played);
+        let figures = figures_without_violations(&played);
         let allowed = if idempotent { 0 } else { 12 };
         assert!(figures.failed <= allowed, "{figures:?}");
         assert_eq!(figures.good + figures.failed, figures.offered);
@@ -93,12 +97,12 @@
 }
 
 #[test]
-fn an_upstream_that_failed_once_or_twice_gets_its_part_again() {
-    // Callers see one upstream of two do all the work for good. The other one is out
-    // of reach for a moment and fails a request or two, too few to be ejected. From
-    // then on it loses every comparison with one that is not busy, and as only its
-    // own runs lower its failure rate, the rate stays.
-    let mut failed_a_few = 0;
+fn an_upstream_regains_its_share_after_one_or_two_failures() {
+    // Guards against an upstream that gets no more requests after one or two failures.
+    // One of two upstreams is unreachable for 100 ms and fails too few requests to be
+    // ejected. It then loses every comparison with an upstream that is not busy, and
+    // since only its own runs lower its failure rate, the rate never recovers.
+    let mut seeds_with_few_failures = 0;
     for seed in 0..12 {
         let mut s = Scenario::workers(Kind::Dispatcher, seed, 2);
         s.add(0, 30_000, &Stream::new("check", Class::Urgent, 20.0, 20));
@@ -111,24 +115,31 @@
         let failed = s.bench.sent_to("pool-1") - before;
         s.bench.run(10_000);
         let sent = |s: &Scenario| ["pool-0", "pool-1"].map(|name| s.bench.sent_to(name));
-        let then = sent(&s);
+        let sent_before = sent(&s);
         s.bench.run(30_000);
-        let now = sent(&s);
-        let [one, two] = [now[0] - then[0], now[1] - then[1]];
+        let sent_at_end = sent(&s);
+        let [one, two] = [
+            sent_at_end[0] - sent_before[0],
+            sent_at_end[1] - sent_before[1],
+        ];
         assert!(
             two * 3 > one,
-            "seed {seed}: {failed} failed, then {one} to {two}"
+            "seed {seed}: {failed} failed, then {one} requests to pool-0 and {two} to pool-1"
         );
-        failed_a_few += u32::from((1..=2).contains(&failed));
+        seeds_with_few_failures += u32::from((1..=2).contains(&failed));
     }
-    assert!(failed_a_few >= 4, "only {failed_a_few} seeds show it");
+    assert!(
+        seeds_with_few_failures >= 4,
+        "only {seeds_with_few_failures} seeds had one or two failures"
+    );
 }
 
 #[test]
-fn an_upstream_that_was_slow_for_a_moment_gets_its_part_again() {
-    // Callers see one upstream of two do all the work for good. The other one was slow
-    // for two seconds. From then on its run time speaks against it whenever the first is
-    // not busy, and as only its own runs can show that it is fast again, it stays so.
+fn an_upstream_regains_its_share_after_it_was_slow() {
+    // Guards against an upstream that gets no more requests after it was slow. One of
+    // two upstreams is slow for two seconds. Its measured run time then loses every
+    // comparison while the other is not busy, and since only its own runs can show
+    // that it is fast again, the measurement never recovers.
     for seed in 0..12 {
         let mut s = Scenario::workers(Kind::Dispatcher, seed, 2);
         s.add(0, 60_000, &Stream::new("check", Class::Urgent, 40.0, 20));
@@ -137,20 +148,27 @@
         s.bench.behave(4_000, "pool-1", works(1.0));
         s.bench.run(30_000);
         let sent = |s: &Scenario| ["pool-0", "pool-1"].map(|name| s.bench.sent_to(name));
-        let then = sent(&s);
+        let sent_before = sent(&s);
         s.bench.run(60_000);
-        let now = sent(&s);
-        let [one, two] = [now[0] - then[0], now[1] - then[1]];
-        assert!(two * 3 > one, "seed {seed}: {one} to {two}");
+        let sent_at_end = sent(&s);
+        let [one, two] = [
+            sent_at_end[0] - sent_before[0],
+            sent_at_end[1] - sent_before[1],
+        ];
+        assert!(
+            two * 3 > one,
+            "seed {seed}: {one} requests to pool-0 and {two} to pool-1"
+        );
     }
 }
 
 #[test]
 fn a_slow_upstream_is_limited_and_not_ejected() {
-    // One worker takes ten times as long from one moment on. By least connections
-    // all its slots fill up, and each request there misses its deadline.
+    // Guards against requests that pile up at a slow worker. One worker becomes ten
+    // times slower. With least connections all its slots fill up, and each request
+    // there misses its deadline.
     let played = plays::slow_upstream(Kind::Dispatcher, 5);
-    let figures = sound(&played);
+    let figures = figures_without_violations(&played);
     assert!(figures.offered - figures.good <= 24, "{figures:?}");
     let status = dispatcher(&played.scenario).status(12_000);
     let slow = status
@@ -165,10 +183,10 @@
 
 #[test]
 fn long_work_does_not_hold_up_short_work_of_its_class() {
-    // Requests of 2 s arrive at twice what the pool can do, beside ones of 20 ms
-    // that people wait for. By order of arrival each short one waits behind all
-    // long ones, and its second is over.
-    let figures = sound(&plays::long_among_short(Kind::Dispatcher, 6));
+    // Guards against head-of-line blocking. Requests of 2 s arrive at twice the pool's
+    // capacity, beside interactive ones of 20 ms. In order of arrival each short
+    // request waits behind all long ones and misses its deadline of one second.
+    let figures = figures_without_violations(&plays::long_among_short(Kind::Dispatcher, 6));
     assert!(figures.good_part() >= 0.99, "{figures:?}");
     let naive = plays::long_among_short(Kind::Naive, 6).figures();
     assert!(naive.good_part() < 0.5, "{naive:?}");
@@ -176,10 +194,10 @@
 
 #[test]
 fn a_lost_rack_starts_no_retry_storm() {
-    // Four of ten workers are gone at one moment, with all that ran there. Each
-    // lost request is tried again, first on another rack, within the budget; what
-    // is then sent must stay close to what was offered.
-    let figures = sound(&plays::rack_lost(Kind::Dispatcher, 7));
+    // Guards against a retry storm. Four of ten workers are lost at once, with all
+    // requests that ran there. Each lost request is retried, first on another rack,
+    // within the retry budget; the attempts must stay close to the requests offered.
+    let figures = figures_without_violations(&plays::rack_lost(Kind::Dispatcher, 7));
     assert!(figures.good_part() >= 0.999, "{figures:?}");
     assert!(
         figures.dispatches as usize <= figures.offered + 100,
@@ -190,13 +208,13 @@
 }
 
 #[test]
-fn a_sick_pool_keeps_half_of_its_workers_and_says_so() {
-    // Something that all workers share fails for six seconds. If all were ejected
-    // nobody would be left when it works again, and retries of everything would
-    // triple the load. Half stay, the status says so, and callers are told at
-    // once; afterwards the pool is whole again.
+fn a_failing_pool_keeps_half_of_its_workers_and_is_reported() {
+    // Guards against ejecting a whole pool. A dependency that all workers share fails
+    // for six seconds. If all workers were ejected, none would be left when it
+    // recovers, and retries of all requests would triple the load. Half must stay, the
+    // status must report the pool, and all later requests must be answered.
     let played = plays::sick_pool(Kind::Dispatcher, 8);
-    let after = sound(&played);
+    let after = figures_without_violations(&played);
     assert_eq!(after.good, after.offered);
     let all = played.all();
     assert!(
@@ -221,27 +239,30 @@
 
 #[test]
 fn a_burst_of_one_caller_delays_no_other() {
-    // 2,000 requests come at once into a pool that is a quarter full. In the order
-    // of arrival the next callers wait behind all of them.
-    let calm = sound(&plays::burst(Kind::Dispatcher, 9));
+    // Guards against a burst that delays other callers. 2,000 requests of one caller
+    // arrive at once while the pool is at a quarter of its capacity. In order of
+    // arrival, the requests of the other callers wait behind all of them.
+    let calm = figures_without_violations(&plays::burst(Kind::Dispatcher, 9));
     assert_eq!(calm.good, calm.offered);
     assert!(calm.p99_ms <= 60, "{calm:?}");
 }
 
 #[test]
-fn two_entry_instances_come_to_share_the_slots() {
-    // The first entry instance holds all slots and refills each the moment its own
-    // request ends. The second hears of this late, is told `busy` again and again,
-    // and its callers time out unless the first leaves slots to it.
-    let late = sound(&plays::late_entry(10));
+fn two_entry_instances_share_the_slots() {
+    // Guards against an entry instance that starves another. The first one occupies
+    // all slots and refills each as soon as its own request ends. The second learns
+    // of the load late and is refused as `busy` repeatedly; its callers time out
+    // unless the first one leaves slots free.
+    let late = figures_without_violations(&plays::late_entry(10));
     assert!(late.good_part() >= 0.9, "{late:?}");
 }
 
 #[test]
-fn a_burst_of_cancellations_leaves_nothing_behind() {
-    // 10,000 callers go away at once, most of them waiting, some in flight. Each
-    // waiting one is told once, each in flight keeps its slot until it ends and is
-    // then dropped; the next caller finds the pool free.
+fn a_burst_of_cancellations_leaks_no_slot_or_request() {
+    // Guards against slots and requests that leak on cancellation. 10,000 requests are
+    // cancelled at once, most of them queued, some in flight. Each queued one is
+    // answered once; each one in flight keeps its slot until it ends and is then
+    // dropped. The next request must find free slots.
     let mut s = Scenario::ten_workers(Kind::Dispatcher, 11);
     let crowd = Stream::new("archive", Class::Patient, 1.0, 400).deadline_ms(900_000);
     let ids: Vec<_> = (0..10_000).map(|_| s.add_one(0, &crowd)).collect();
@@ -250,13 +271,13 @@
     let next = s.add_one(700, &Stream::new("check", Class::Urgent, 1.0, 20));
     s.bench.run(2_000);
     assert_eq!(s.bench.faults(), &[] as &[String]);
-    let told = ids
+    let answered_once = ids
         .iter()
         .filter(|id| s.bench.account(id.0).unwrap().answers == 1);
-    let ran = ids
+    let ran_once = ids
         .iter()
         .filter(|id| s.bench.account(id.0).unwrap().runs == 1);
-    assert_eq!((told.count(), ran.count()), (9_930, 70));
+    assert_eq!((answered_once.count(), ran_once.count()), (9_930, 70));
     assert!(s.bench.account(next.0).unwrap().latency_ms().unwrap() < 40);
     assert_eq!(dispatcher(&s).pending(), 0);
 }
--- a/tests/load_tool.rs
+++ b/tests/load_tool.rs
@@ -1,4 +1,5 @@
-//! The load tool: the account finds each kind of violation and nothing else.
+//! Tests of the load tool: its account reports each kind of violation and no others,
+//! its plan is reproducible, and its latencies are exact to a thousandth.
 #![allow(missing_docs, clippy::unwrap_used)]
 
 mod support;
@@ -11,7 +12,7 @@
 use rosemarygauge::upstream::{RunEnd, RunRecord};
 use support::{FakeEntry, command, free_address, read_report, reply};
 
-fn mix() -> Mix {
+fn request_mix() -> Mix {
     Mix {
         services: vec![
             "check:urgent:3".parse().unwrap(),
@@ -27,7 +28,7 @@
 }
 
 fn planned(class: Class, idempotent: bool) -> Planned {
-    Plan::new(mix(), 1_000.0, 10_000, "x", 1)
+    Plan::new(request_mix(), 1_000.0, 10_000, "x", 1)
         .find(|planned| planned.class == class && planned.idempotent == idempotent)
         .unwrap()
 }
@@ -72,7 +73,7 @@
     }
 }
 
-/// The account of one request, as the names of its violations.
+/// Returns the names of the violations that the account of one request reports.
 fn violations(
     (class, idempotent, tries): (Class, bool, u32),
     answers: &[Answer],
@@ -172,9 +173,9 @@
 }
 
 #[test]
-fn the_same_seed_plans_the_same_requests_in_the_shares_asked_for() {
+fn a_seed_plans_the_same_requests_in_the_requested_shares() {
     for seed in 0..20 {
-        let plan = || Plan::new(mix(), 1_000.0, 4_000, "x", seed).collect::<Vec<_>>();
+        let plan = || Plan::new(request_mix(), 1_000.0, 4_000, "x", seed).collect::<Vec<_>>();
         let planned = plan();
         assert_eq!(planned, plan());
         assert!(planned.is_sorted_by_key(|p| p.due_us));
@@ -189,41 +190,42 @@
     }
 }
 
-// The report once gave 2 µs for every quantile: the histogram did not grow, and
-// each record saturated at its first bound.
+// Guards against a histogram that does not grow: each value saturated at its first
+// upper bound, and the report gave 2 µs for every quantile.
 #[test]
-fn latency_is_told_to_a_thousandth() {
+fn latency_quantiles_are_exact_to_a_thousandth() {
     let mut latency = Latency::default();
     for ms in 1..=1_000 {
         latency.record(Class::Urgent, &done("x"), ms * 1_000);
     }
-    let told = &latency.quantiles()[0];
+    let quantiles = &latency.quantiles()[0];
     for (us, exact_us) in [
-        (told.p50_us, 500_000),
-        (told.p99_us, 990_000),
-        (told.max_us, 1_000_000),
+        (quantiles.p50_us, 500_000),
+        (quantiles.p99_us, 990_000),
+        (quantiles.max_us, 1_000_000),
     ] {
         assert!(
             us.abs_diff(exact_us) <= exact_us / 1_000,
-            "{us} for {exact_us}"
+            "{us} µs instead of {exact_us} µs"
         );
     }
 }
 
-// Three entry instances: one refuses connections, one drops each key's first call
-// unanswered, and both others answer with another request's proof. The caller is
-// passed on by the first, sends the same key again after the second, and the
-// account names what the third did; the exit code says so.
+// Guards against a load tool that misses answers to the wrong request. Of three entry
+// instances one refuses connections, one drops the first call with each key
+// unanswered, and both others answer with the proof of another request. The tool must
+// try the next instance after a refused connection, resend the same key after a
+// dropped call, count the wrong answers, and exit with code 1.
 #[test]
 fn a_lying_entry_is_found_out() {
     let proof = r#"{"echo":"not yours","key":null,"instance":"w","run":1}"#;
-    let lie = || Some(reply(200, "rg-outcome: done\r\n", proof));
-    let lying = FakeEntry::start(move |_| lie());
+    let wrong_answer = || Some(reply(200, "rg-outcome: done\r\n", proof));
+    let lying = FakeEntry::start(move |_| wrong_answer());
     let seen = Mutex::new(BTreeSet::new());
     let dropping = FakeEntry::start(move |request| {
         let key = request.header("rg-key").unwrap().to_owned();
         let is_first = seen.lock().unwrap().insert(key);
-        if is_first { None } else { lie() }
+        if is_first { None } else { wrong_answer() }
     });
     let entries = [free_address(), dropping.address, lying.address].map(|a| a.to_string());
     let mut load = command(&[
