--- a/src/account/account.rs
+++ b/src/account/account.rs
@@ -6,67 +6,69 @@
 use crate::model::Class;
 use crate::upstream::{RunEnd, RunRecord};
 
-use super::{Answer, Ledger, Sent};
+use super::{Answer, Ledger, SentRequest};
 
-/// The closing account: what callers were told against what was run.
+/// Result of comparing the answers that callers got with the runs on record.
 ///
-/// Each request counts once in `sent` and, by what its caller knows at last,
-/// once in one of `done`, `not_run`, `unknown`, `cancelled` and `lost`.
+/// Each request counts once in `sent` and, by its caller's final answer, once in one
+/// of `done`, `not_run`, `unknown`, `cancelled` and `lost`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Account {
-    /// Requests.
+    /// Requests sent, each counted once.
     pub sent: u64,
-    /// Answered whole.
+    /// Requests that an upstream ran and answered.
     pub done: u64,
-    /// Of these, answered by an upstream with a status from 400.
+    /// Requests counted in `done` whose status is 400 or above.
     pub done_failed: u64,
-    /// Refused.
+    /// Requests refused without being run.
     pub not_run: u64,
-    /// Refused, by reason.
+    /// Requests refused, by reason.
     pub not_run_by_reason: BTreeMap<String, u64>,
-    /// May or may not have run.
+    /// Requests whose outcome is unknown: they may or may not have run.
     pub unknown: u64,
-    /// Given up by the caller.
+    /// Requests cancelled by the caller.
     pub cancelled: u64,
-    /// Patient jobs accepted, whatever became of them.
+    /// Patient jobs accepted, regardless of their outcome.
     pub accepted: u64,
-    /// Sent again after a lost answer.
+    /// Attempts sent again after a lost answer.
     pub resent: u64,
-    /// Calls that ended before a whole answer.
+    /// Calls that ended before a complete answer.
     pub cut_off: u64,
-    /// Calls that no entry instance took.
+    /// Calls for which no entry instance accepted a connection.
     pub no_entry: u64,
-    /// Answers outside the protocol.
+    /// Answers that don't follow the protocol.
     pub malformed: u64,
-    /// Connections that one entry instance refused and the next one took.
+    /// Connections refused by an entry instance, after each of which the next instance
+    /// was tried.
     pub refused_connections: u64,
-    /// Refusals that do not say when to come back.
+    /// Refusals without a `Retry-After` header.
     pub no_come_back: u64,
-    /// Starts on record.
+    /// Runs in the upstreams' records.
     pub runs: u64,
-    /// Violation: no final answer, or a patient job accepted and not finished.
+    /// Violation: no final answer, or a patient job accepted but not finished.
     pub lost: u64,
-    /// Violation: ran again although it may run once.
+    /// Violation: a request that may run at most once ran again.
     pub doubled: u64,
-    /// Violation: answer to another request.
+    /// Violation: the answer belongs to another request.
     pub mixed_up: u64,
-    /// Violation: done, but the body is no whole answer.
+    /// Violation: answered as done, but the body is not a complete proof.
     pub not_whole: u64,
-    /// Violation: the caller was told that it did not run, and it ran.
+    /// Violation: answered as not run, but the request ran.
     pub not_run_but_ran: u64,
-    /// Violation: done, but no run is on record.
+    /// Violation: answered as done, but no run is on record.
     pub done_without_run: u64,
-    /// Whether the stand-ins' records were compared.
+    /// Whether the answers were compared with the upstreams' records.
     pub checked: bool,
-    /// The first violations, in words.
+    /// Descriptions of the first violations.
     pub examples: Vec<String>,
 }
 
-/// Violations told in words; the rest are only counted.
-const EXAMPLES: usize = 20;
+/// Violations that are described; the others are only counted.
+const MAX_EXAMPLES: usize = 20;
 
 impl Account {
-    /// Draws the account. Without runs only what callers saw is checked.
+    /// Builds the account of a ledger. Without `runs` only the callers' answers are
+    /// checked.
     pub fn draw(ledger: &Ledger, runs: Option<&[RunRecord]>) -> Self {
         let mut by_body: BTreeMap<&str, Vec<&RunRecord>> = BTreeMap::new();
         for run in runs.unwrap_or_default() {
@@ -78,7 +80,7 @@
             refused_connections: ledger.refused_connections(),
             ..Self::default()
         };
-        for (number, sent) in ledger.sent() {
+        for (number, sent) in ledger.requests() {
             account.count(sent);
             account.check_answers(*number, sent);
             if account.checked {
@@ -89,7 +91,7 @@
         account
     }
 
-    /// Whether nothing was lost, doubled, mixed up or told wrongly.
+    /// Returns whether there is no violation.
     pub fn is_clean(&self) -> bool {
         self.lost
             + self.doubled
@@ -100,7 +102,7 @@
             == 0
     }
 
-    fn count(&mut self, sent: &Sent) {
+    fn count(&mut self, sent: &SentRequest) {
         self.sent += 1;
         self.resent += u64::from(sent.resent);
         self.accepted += u64::from(sent.has(|a| matches!(a, Answer::Accepted { .. })));
@@ -109,11 +111,13 @@
                 Answer::CutOff => self.cut_off += 1,
                 Answer::NoEntry => self.no_entry += 1,
                 Answer::Malformed { .. } => self.malformed += 1,
-                Answer::NotRun { come_back, .. } => self.no_come_back += u64::from(!come_back),
+                Answer::NotRun {
+                    has_retry_after, ..
+                } => self.no_come_back += u64::from(!has_retry_after),
                 _ => {}
             }
         }
-        match sent.last_word() {
+        match sent.final_answer() {
             Some(Answer::Done { status, .. }) => {
                 self.done += 1;
                 self.done_failed += u64::from(*status >= 400);
@@ -128,23 +132,27 @@
         }
     }
 
-    fn check_answers(&mut self, number: u64, sent: &Sent) {
+    fn check_answers(&mut self, number: u64, sent: &SentRequest) {
         if !sent.is_settled() {
             self.lost += 1;
-            self.example(number, || format!("lost, told only {:?}", sent.answers));
+            self.add_example(number, || {
+                format!("lost, got only the answers {:?}", sent.answers)
+            });
         }
         for answer in &sent.answers {
             match answer {
                 Answer::Done { proof: None, .. } => {
                     self.not_whole += 1;
-                    self.example(number, || "done without a whole answer".to_owned());
+                    self.add_example(number, || {
+                        "answered as done without a complete proof".to_owned()
+                    });
                 }
                 Answer::Done {
                     proof: Some(proof), ..
                 } if proof.echo != sent.body_sha256 => {
                     self.mixed_up += 1;
-                    self.example(number, || {
-                        format!("got run {} of {}", proof.run, proof.instance)
+                    self.add_example(number, || {
+                        format!("got the answer of run {} on {}", proof.run, proof.instance)
                     });
                 }
                 _ => {}
@@ -152,38 +160,42 @@
         }
     }
 
-    fn check_runs(&mut self, number: u64, sent: &Sent, runs: &[&RunRecord]) {
-        if sent.ran_too_often(runs) {
+    fn check_runs(&mut self, number: u64, sent: &SentRequest, runs: &[&RunRecord]) {
+        if sent.has_forbidden_rerun(runs) {
             self.doubled += 1;
-            self.example(number, || format!("doubled: {}", places(runs)));
+            self.add_example(number, || {
+                format!("ran more than once: {}", describe_runs(runs))
+            });
         }
-        if sent.was_told_not_run() && !runs.is_empty() {
+        if sent.was_answered_not_run() && !runs.is_empty() {
             self.not_run_but_ran += 1;
-            self.example(number, || format!("told not-run, ran: {}", places(runs)));
+            self.add_example(number, || {
+                format!("answered as not-run, but ran: {}", describe_runs(runs))
+            });
         }
         let done = sent.has(|a| matches!(a, Answer::Done { .. }));
         let ended = |run: &&RunRecord| matches!(run.end, RunEnd::Finished | RunEnd::Failed);
         if done && !runs.iter().any(ended) {
             self.done_without_run += 1;
-            self.example(number, || "done, but no run ended".to_owned());
+            self.add_example(number, || "answered as done, but no run ended".to_owned());
         }
     }
 
-    fn example(&mut self, number: u64, text: impl FnOnce() -> String) {
-        if self.examples.len() < EXAMPLES {
+    fn add_example(&mut self, number: u64, text: impl FnOnce() -> String) {
+        if self.examples.len() < MAX_EXAMPLES {
             self.examples.push(format!("request {number}: {}", text()));
         }
     }
 }
 
-impl Sent {
+impl SentRequest {
     fn has(&self, pred: impl Fn(&Answer) -> bool) -> bool {
         self.answers.iter().any(pred)
     }
 
-    /// The final answer that tells most: a caller that resends a key may be
-    /// refused once and be given the stored answer later.
-    fn last_word(&self) -> Option<&Answer> {
+    /// Returns the most informative final answer. `Done` takes precedence, since a
+    /// caller that resends a key may be refused once and get the stored answer later.
+    fn final_answer(&self) -> Option<&Answer> {
         let done = |a: &&Answer| matches!(a, Answer::Done { .. });
         self.answers
             .iter()
@@ -191,9 +203,10 @@
             .or_else(|| self.answers.iter().rev().find(|a| a.is_final()))
     }
 
-    /// An urgent request may start once. A patient job may start again under a
-    /// new fencing number, since only the newest can finish it.
-    fn ran_too_often(&self, runs: &[&RunRecord]) -> bool {
+    /// Returns whether a request that may run at most once ran again. An urgent request
+    /// may start once. A patient job may start again under a new fencing token, since
+    /// only the newest one can finish it.
+    fn has_forbidden_rerun(&self, runs: &[&RunRecord]) -> bool {
         if self.idempotent {
             return false;
         }
@@ -206,21 +219,22 @@
         }
     }
 
-    /// Whether `not-run` speaks for all that was sent. An idempotent request
-    /// sent again after a lost answer may be refused the second time although
-    /// it ran the first; under a key that may run once it may not.
-    fn was_told_not_run(&self) -> bool {
-        self.has(|a| matches!(a, Answer::NotRun { .. })) && (!self.idempotent || self.tries == 1)
+    /// Returns whether a `not-run` answer covers all attempts. An idempotent request
+    /// that is sent again after a lost answer may be refused the second time although
+    /// the first attempt ran. For a request that may run at most once, `not-run` covers
+    /// all attempts with its key.
+    fn was_answered_not_run(&self) -> bool {
+        self.has(|a| matches!(a, Answer::NotRun { .. })) && (!self.idempotent || self.attempts == 1)
     }
 }
 
-fn places(runs: &[&RunRecord]) -> String {
-    let place = |run: &&RunRecord| {
+fn describe_runs(runs: &[&RunRecord]) -> String {
+    let describe = |run: &&RunRecord| {
         let (instance, run_id, request) = (&run.instance, run.run, &run.request);
         let (attempt, started) = (run.attempt, run.started_ms);
         format!("{instance} run {run_id} (request {request} attempt {attempt} at {started})")
     };
-    runs.iter().map(place).collect::<Vec<_>>().join(", ")
+    runs.iter().map(describe).collect::<Vec<_>>().join(", ")
 }
 
 impl fmt::Display for Account {
--- a/src/account/answer.rs
+++ b/src/account/answer.rs
@@ -1,61 +1,61 @@
 use serde::Deserialize;
 
-/// What one call brought its caller.
+/// Result of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Ran, with the upstream's whole answer.
+    /// The request ran, and the upstream answered.
     Done {
-        /// The upstream's status.
+        /// HTTP status from the upstream.
         status: u16,
-        /// The proof in the body, none if the body is not a whole proof.
+        /// Proof in the body, or `None` if the body is not a complete proof.
         proof: Option<Proof>,
     },
-    /// Did not run.
+    /// The request was refused and did not run.
     NotRun {
-        /// The reason given.
+        /// Reason of the refusal.
         reason: String,
-        /// Whether it says when to come back.
-        come_back: bool,
+        /// Whether the answer has a `Retry-After` header.
+        has_retry_after: bool,
     },
-    /// May have run.
+    /// The request may have run.
     Unknown,
-    /// A patient job is durable.
+    /// A patient job was accepted and stored durably.
     Accepted {
-        /// Where to ask for it.
+        /// Path at which its state can be polled.
         location: String,
     },
-    /// A patient job waits or runs.
+    /// A patient job is queued or running.
     Pending,
-    /// A patient job is not known there.
+    /// A patient job is unknown to the entry instance.
     NotFound,
-    /// The connection ended or the time ran out before a whole answer.
+    /// The connection ended or the call timed out before a complete answer.
     CutOff,
-    /// No entry instance took the connection.
+    /// No entry instance accepted a connection.
     NoEntry,
-    /// The caller went away.
+    /// The caller cancelled the request.
     Cancelled,
-    /// An answer outside the protocol.
+    /// The answer doesn't follow the protocol.
     Malformed {
-        /// Its status.
+        /// HTTP status of the answer.
         status: u16,
     },
 }
 
-/// What a stand-in says it ran.
+/// Proof of a run, which a stand-in upstream returns in its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Proof {
     /// SHA-256 of the request's body, in hexadecimal.
     pub echo: String,
-    /// The request key.
+    /// Request key.
     pub key: Option<String>,
-    /// The instance that ran it.
+    /// Instance that ran the request.
     pub instance: String,
-    /// The number of the run there.
+    /// Number of the run on that instance.
     pub run: u64,
 }
 
 impl Answer {
-    /// Whether the caller now knows all it will.
+    /// Returns whether the answer settles the outcome for the caller.
     pub fn is_final(&self) -> bool {
         matches!(
             self,
--- a/src/account/client.rs
+++ b/src/account/client.rs
@@ -5,19 +5,20 @@
 use http::header::{LOCATION, RETRY_AFTER};
 use ureq::{Agent, Body};
 
-use super::{Answer, Planned};
+use super::{Answer, PlannedRequest};
 
-/// Longest wait for a connection before the next entry instance is tried.
+/// Timeout of a connection attempt, after which the next entry instance is tried.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// How long after its deadline a caller still listens for its final answer. An
-/// answer that comes later than this counts as lost.
-const GRACE_MS: u64 = 3_000;
+/// Time after the deadline for which a caller still waits for its final answer. A
+/// later answer counts as lost.
+const ANSWER_GRACE_MS: u64 = 3_000;
 
-/// Largest answer read.
-const ANSWER_LIMIT_BYTES: u64 = 64 * 1024 * 1024;
+/// Maximum size of an answer's body.
+const MAX_ANSWER_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Calls the entry instances in turn, as the platform's balancer would.
+/// HTTP client that calls the entry instances round-robin, as the platform's load
+/// balancer does.
 #[derive(Debug)]
 pub struct Client {
     agent: Agent,
@@ -27,8 +28,8 @@
 }
 
 impl Client {
-    /// A client of the entry instances at these addresses; `keys_are_new` if no
-    /// earlier experiment sent the same keys.
+    /// Returns a client for the entry instances at the given addresses. `keys_are_new`
+    /// says that no earlier experiment sent the same keys.
     pub fn new(entries: Vec<String>, keys_are_new: bool) -> Self {
         let agent = Agent::config_builder()
             .max_redirects(0)
@@ -47,11 +48,18 @@
         }
     }
 
-    /// Sends a request, `again` if an answer to it was lost; also the number of
-    /// entry instances that refused it.
-    pub fn call(&self, planned: &Planned, again: bool, deadline_ms: u64) -> (Answer, u64) {
-        let timeout_ms = planned.cancel_after_ms.unwrap_or(deadline_ms + GRACE_MS);
-        self.at_next_entry(|entry| {
+    /// Sends a request and returns its result and the number of entry instances that
+    /// refused the connection. `is_resend` says that an earlier answer was lost.
+    pub fn call(
+        &self,
+        planned: &PlannedRequest,
+        is_resend: bool,
+        deadline_ms: u64,
+    ) -> (Answer, u64) {
+        let timeout_ms = planned
+            .cancel_after_ms
+            .unwrap_or(deadline_ms + ANSWER_GRACE_MS);
+        self.call_next_entry(|entry| {
             let mut request = self
                 .agent
                 .post(format!("http://{entry}/call/{}", planned.service))
@@ -64,14 +72,14 @@
                 .header("rg-idempotent", planned.idempotent.to_string())
                 .header("rg-deadline-ms", deadline_ms.to_string());
             if let Some(key) = &planned.key {
-                // An entry instance that cannot look the key up says `not-run`
-                // only if it is vouched for as new.
-                let new = self.keys_are_new && !again && !planned.twin;
+                // An entry instance that cannot look up the key answers `not-run` only
+                // if the caller declares that the key is new.
+                let key_is_new = self.keys_are_new && !is_resend && !planned.twin;
                 request = request
                     .header("rg-key", key)
-                    .header("rg-resend", (!new).to_string());
+                    .header("rg-resend", (!key_is_new).to_string());
             }
-            let called = request.send(planned.body.as_str()).and_then(read);
+            let called = request.send(planned.body.as_str()).and_then(read_answer);
             match called {
                 Err(ureq::Error::Timeout(_)) if planned.cancel_after_ms.is_some() => {
                     Ok(Answer::Cancelled)
@@ -81,28 +89,31 @@
         })
     }
 
-    /// Asks for a patient job.
+    /// Asks for the state of a patient job. Returns the result and the number of entry
+    /// instances that refused the connection.
     pub fn poll(&self, location: &str) -> (Answer, u64) {
-        self.at_next_entry(|entry| {
+        self.call_next_entry(|entry| {
             self.agent
                 .get(format!("http://{entry}{location}"))
                 .config()
-                .timeout_global(Some(Duration::from_millis(GRACE_MS)))
+                .timeout_global(Some(Duration::from_millis(ANSWER_GRACE_MS)))
                 .build()
                 .call()
-                .and_then(read)
+                .and_then(read_answer)
         })
     }
 
-    fn at_next_entry(&self, call: impl Fn(&str) -> Result<Answer, ureq::Error>) -> (Answer, u64) {
+    fn call_next_entry(&self, call: impl Fn(&str) -> Result<Answer, ureq::Error>) -> (Answer, u64) {
         let first = self.next.fetch_add(1, Ordering::Relaxed);
         for tried in 0..self.entries.len() {
             let entry = &self.entries[(first + tried) % self.entries.len()];
             match call(entry) {
                 Ok(answer) => return (answer, tried as u64),
-                Err(e) if is_unconnected(&e) => {}
+                Err(e) if is_connect_error(&e) => {}
                 Err(e) => {
-                    tracing::debug!("load: {entry} cut off a call: {e}");
+                    tracing::debug!(
+                        "load: the call to {entry} ended before a complete answer: {e}"
+                    );
                     return (Answer::CutOff, tried as u64);
                 }
             }
@@ -111,8 +122,8 @@
     }
 }
 
-/// Whether no connection was made, so that nothing can have been sent.
-fn is_unconnected(e: &ureq::Error) -> bool {
+/// Returns whether no connection was made, so that nothing can have been sent.
+fn is_connect_error(e: &ureq::Error) -> bool {
     match e {
         ureq::Error::Io(e) => e.kind() == io::ErrorKind::ConnectionRefused,
         ureq::Error::Timeout(timeout) => *timeout == ureq::Timeout::Connect,
@@ -121,10 +132,10 @@
     }
 }
 
-fn read(reply: http::Response<Body>) -> Result<Answer, ureq::Error> {
+fn read_answer(reply: http::Response<Body>) -> Result<Answer, ureq::Error> {
     let (head, mut body) = reply.into_parts();
-    // A body that ends early fails here and counts as cut off.
-    let bytes = body.with_config().limit(ANSWER_LIMIT_BYTES).read_to_vec()?;
+    // A truncated body fails here and counts as cut off.
+    let bytes = body.with_config().limit(MAX_ANSWER_BYTES).read_to_vec()?;
     let status = head.status.as_u16();
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
     Ok(match (text("rg-outcome"), status) {
@@ -134,7 +145,7 @@
         },
         (Some("not-run"), _) => Answer::NotRun {
             reason: text("rg-reason").unwrap_or("none given").to_owned(),
-            come_back: text(RETRY_AFTER.as_str()).is_some(),
+            has_retry_after: text(RETRY_AFTER.as_str()).is_some(),
         },
         (Some("unknown"), _) => Answer::Unknown,
         (Some("accepted"), 202) => match text(LOCATION.as_str()) {
--- a/src/account/error.rs
+++ b/src/account/error.rs
@@ -1,21 +1,21 @@
 use std::io;
 
-/// Why an experiment could not be run or accounted for.
+/// Errors of running an experiment or of collecting its run records.
 #[derive(Debug, derive_more::Display, derive_more::Error, derive_more::From)]
 pub enum Error {
     /// A thread could not be started.
     #[display("{_0}")]
     Io(io::Error),
-    /// A stand-in did not say what it ran.
+    /// The run records of a stand-in upstream could not be read.
     #[display("cannot read the runs of {control}: {reason}")]
     #[from(ignore)]
     Runs {
-        /// Its control address.
+        /// Control address of the stand-in.
         control: String,
-        /// What went wrong.
+        /// Cause of the failure.
         reason: String,
     },
-    /// An argument is wrong.
+    /// An argument is invalid.
     #[display("{_0}")]
     #[from(ignore)]
     Argument(#[error(not(source))] String),
--- a/src/account/ledger.rs
+++ b/src/account/ledger.rs
@@ -2,93 +2,93 @@
 
 use crate::model::Class;
 
-use super::{Answer, Planned};
+use super::{Answer, PlannedRequest};
 
-/// What callers sent and were told.
+/// Record of the requests that callers sent and the answers that they got.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    sent: BTreeMap<u64, Sent>,
+    requests: BTreeMap<u64, SentRequest>,
     refused_connections: u64,
 }
 
-/// One request and all that came of it.
+/// One request with its attempts and answers.
 #[derive(Clone, Debug)]
-pub struct Sent {
-    /// Its class.
+pub struct SentRequest {
+    /// Class of the request.
     pub class: Class,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// SHA-256 of its body, in hexadecimal.
+    /// SHA-256 of the body, in hexadecimal.
     pub body_sha256: String,
-    /// Times it was sent.
-    pub tries: u32,
-    /// Times it was sent because an answer was lost.
+    /// Number of times it was sent.
+    pub attempts: u32,
+    /// Number of times it was sent again because an answer was lost.
     pub resent: u32,
-    /// What its calls brought, in order of arrival.
+    /// Results of its calls, in order of arrival.
     pub answers: Vec<Answer>,
 }
 
-impl Sent {
-    /// A request that has not been sent yet.
-    pub fn new(planned: &Planned, body_sha256: String) -> Self {
+impl SentRequest {
+    /// Returns the record of a request that has not been sent yet.
+    pub fn new(planned: &PlannedRequest, body_sha256: String) -> Self {
         Self {
             class: planned.class,
             idempotent: planned.idempotent,
             body_sha256,
-            tries: 0,
+            attempts: 0,
             resent: 0,
             answers: Vec::new(),
         }
     }
 
-    /// Whether the caller knows what became of it.
+    /// Returns whether the caller got a final answer.
     pub fn is_settled(&self) -> bool {
         self.answers.iter().any(Answer::is_final)
     }
 }
 
 impl Ledger {
-    /// Opens a request.
-    pub fn open(&mut self, number: u64, sent: Sent) {
-        self.sent.insert(number, sent);
+    /// Adds a request before its first attempt.
+    pub fn add_request(&mut self, number: u64, sent: SentRequest) {
+        self.requests.insert(number, sent);
     }
 
-    /// Notes that it is sent, `again` if for a lost answer.
-    pub fn send(&mut self, number: u64, again: bool) {
-        if let Some(sent) = self.sent.get_mut(&number) {
-            sent.tries += 1;
-            sent.resent += u32::from(again);
+    /// Counts an attempt; `is_resend` says whether it follows a lost answer.
+    pub fn record_attempt(&mut self, number: u64, is_resend: bool) {
+        if let Some(sent) = self.requests.get_mut(&number) {
+            sent.attempts += 1;
+            sent.resent += u32::from(is_resend);
         }
     }
 
-    /// Notes what a call brought.
-    pub fn answer(&mut self, number: u64, answer: Answer) {
-        if let Some(sent) = self.sent.get_mut(&number) {
+    /// Records the result of a call.
+    pub fn record_answer(&mut self, number: u64, answer: Answer) {
+        if let Some(sent) = self.requests.get_mut(&number) {
             sent.answers.push(answer);
         }
     }
 
-    /// Notes entry instances that did not take a connection.
-    pub fn refuse_connections(&mut self, count: u64) {
+    /// Counts connections that entry instances refused.
+    pub fn record_refused_connections(&mut self, count: u64) {
         self.refused_connections += count;
     }
 
-    /// Patient jobs that were accepted and whose end is not known.
-    pub fn open_jobs(&self) -> usize {
+    /// Returns the number of patient jobs that were accepted and have no final answer.
+    pub fn unfinished_jobs(&self) -> usize {
         let accepted = |a: &Answer| matches!(a, Answer::Accepted { .. });
-        self.sent
+        self.requests
             .values()
             .filter(|sent| !sent.is_settled() && sent.answers.iter().any(accepted))
             .count()
     }
 
-    /// Requests by number.
-    pub fn sent(&self) -> &BTreeMap<u64, Sent> {
-        &self.sent
+    /// Returns the requests by number.
+    pub fn requests(&self) -> &BTreeMap<u64, SentRequest> {
+        &self.requests
     }
 
-    /// Connections that an entry instance did not take, so that the next one
-    /// was tried.
+    /// Returns the number of connections that an entry instance refused, so that the
+    /// next one was tried.
     pub fn refused_connections(&self) -> u64 {
         self.refused_connections
     }
--- a/src/account/mix.rs
+++ b/src/account/mix.rs
@@ -2,44 +2,45 @@
 
 use crate::model::Class;
 
-/// What kinds of requests an experiment sends.
+/// Mix of requests that an experiment sends.
 #[derive(Clone, Debug)]
 pub struct Mix {
     /// Services with their shares.
     pub services: Vec<ServiceShare>,
     /// Teams with their shares.
     pub teams: Vec<TeamShare>,
-    /// Share of requests that may run at most once; they carry a key.
+    /// Percentage of requests that may run at most once; these carry a key.
     pub not_idempotent_percent: u32,
-    /// Share of keyed requests sent a second time at once, elsewhere.
+    /// Percentage of keyed requests that are sent twice at once, through different
+    /// entry instances.
     pub twin_percent: u32,
-    /// Share of requests whose caller goes away.
+    /// Percentage of requests that the caller cancels.
     pub cancel_percent: u32,
-    /// When such a caller goes away, in milliseconds after sending.
+    /// Time from sending to the cancellation, in milliseconds.
     pub cancel_after_ms: u64,
-    /// Size of a body in bytes, where its number leaves room.
+    /// Size of a body in bytes; a body is larger only if its fixed fields need more.
     pub body_bytes: usize,
 }
 
 /// A service in a mix: `NAME:CLASS:WEIGHT`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceShare {
-    /// The service.
+    /// Name of the service.
     pub name: String,
-    /// The class of its requests.
+    /// Class of its requests.
     pub class: Class,
-    /// Its share, relative to the other services.
+    /// Weight relative to the other services.
     pub weight: u32,
 }
 
 /// A team in a mix: `NAME:WEIGHT:CALLERS`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TeamShare {
-    /// The team.
+    /// Name of the team.
     pub name: String,
-    /// Its share, relative to the other teams.
+    /// Weight relative to the other teams.
     pub weight: u32,
-    /// Number of callers its requests come from.
+    /// Number of callers that send its requests.
     pub callers: u32,
 }
 
@@ -52,9 +53,9 @@
         let class = match parts.next() {
             None | Some("urgent") => Class::Urgent,
             Some("patient") => Class::Patient,
-            Some(other) => return Err(format!("class {other}: use urgent or patient")),
+            Some(other) => return Err(format!("unknown class {other:?}: use urgent or patient")),
         };
-        let weight = weight(parts.next())?;
+        let weight = parse_weight(parts.next())?;
         Ok(Self {
             name,
             class,
@@ -70,15 +71,17 @@
         let mut parts = text.split(':');
         Ok(Self {
             name: parts.next().unwrap_or_default().to_owned(),
-            weight: weight(parts.next())?,
-            callers: weight(parts.next())?,
+            weight: parse_weight(parts.next())?,
+            callers: parse_weight(parts.next())?,
         })
     }
 }
 
-fn weight(part: Option<&str>) -> Result<u32, String> {
+fn parse_weight(part: Option<&str>) -> Result<u32, String> {
     match part.map_or(Ok(1), str::parse) {
-        Ok(0) | Err(_) => Err("weights and numbers of callers are whole numbers from 1".to_owned()),
+        Ok(0) | Err(_) => {
+            Err("weights and numbers of callers must be whole numbers of at least 1".to_owned())
+        }
         Ok(weight) => Ok(weight),
     }
 }
--- a/src/account/mod.rs
+++ b/src/account/mod.rs
@@ -1,14 +1,15 @@
-//! Open-loop load and its closing account.
+//! Open-loop load generator that checks the answers against the upstreams' records.
 //!
-//! [`Plan`] decides what is sent and when, from a seed; [`Client`] sends it;
-//! [`Ledger`] keeps what callers were told; [`Account`] compares that with what
-//! the stand-ins say they ran. Plan, ledger and account hold no socket or clock.
+//! [`Plan`] generates the requests and their due times from a seed; [`Client`] sends
+//! them; [`Ledger`] records the answers that callers got; [`Account`] compares these
+//! with the runs that the stand-in upstreams recorded. `Plan`, `Ledger` and `Account`
+//! use no socket or clock.
 //!
-//! The load is open: a request is due at its moment whether or not earlier ones
-//! were answered, and latency counts from that moment. A closed loop slows down
-//! with the system it measures and hides the waits that callers see.
+//! In an open loop a request is due at its planned time whether or not earlier ones
+//! were answered, and its latency counts from that time. A closed loop slows down with
+//! the system that it measures and hides the waits that callers see.
 
-#[allow(clippy::module_inception)] // one type a file, named after the type
+#[allow(clippy::module_inception)] // each file is named after its type
 mod account;
 mod answer;
 mod client;
@@ -24,7 +25,7 @@
 pub use client::Client;
 pub use error::Error;
 pub use latency::{Latency, Quantiles};
-pub use ledger::{Ledger, Sent};
+pub use ledger::{Ledger, SentRequest};
 pub use mix::{Mix, ServiceShare, TeamShare};
-pub use plan::{Plan, Planned};
+pub use plan::{Plan, PlannedRequest};
 pub use runner::{Experiment, Outcome, fetch_runs};
--- a/src/account/plan.rs
+++ b/src/account/plan.rs
@@ -5,37 +5,37 @@
 
 use super::Mix;
 
-/// One request as it is to be sent.
+/// One request to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Planned {
-    /// Counts the requests of the plan.
+pub struct PlannedRequest {
+    /// Sequence number within the plan, from 0.
     pub number: u64,
-    /// When it is due, in microseconds after the start.
+    /// Due time, in microseconds after the start.
     pub due_us: u64,
-    /// The service.
+    /// Service that it calls.
     pub service: String,
-    /// Its class.
+    /// Class of the request.
     pub class: Class,
-    /// The team.
+    /// Team of the caller.
     pub team: String,
-    /// The caller within the team.
+    /// Name of the caller within the team.
     pub caller: String,
-    /// The request key.
+    /// Request key, if it carries one.
     pub key: Option<String>,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// The body, unlike that of any other request.
+    /// Body, which is unique to the request.
     pub body: String,
-    /// When the caller goes away, in milliseconds after sending.
+    /// Time from sending to the caller's cancellation, in milliseconds, if it cancels.
     pub cancel_after_ms: Option<u64>,
-    /// It is sent twice at once, through different entry instances.
+    /// Whether it is sent twice at once, through different entry instances.
     pub twin: bool,
 }
 
-/// The requests of an experiment, in the order of their due times.
+/// Iterator over the requests of an experiment, in the order of their due times.
 ///
-/// Arrivals are random and independent (exponential gaps), since evenly spaced
-/// ones never meet in a burst and so show no queue below saturation.
+/// Arrivals are a Poisson process, since evenly spaced requests never form a burst and
+/// so cause no queue below saturation.
 #[derive(Clone, Debug)]
 pub struct Plan {
     mix: Mix,
@@ -48,8 +48,8 @@
 }
 
 impl Plan {
-    /// Plans `rate_per_s` requests a second for `duration_ms`. Keys and bodies
-    /// carry `label`, so that two runs of one plan do not share them.
+    /// Plans `rate_per_s` requests per second for `duration_ms`. Keys and bodies contain
+    /// `label`, so that two runs of one plan don't share them.
     pub fn new(mix: Mix, rate_per_s: f64, duration_ms: u64, label: &str, seed: u64) -> Self {
         Self {
             mix,
@@ -66,14 +66,14 @@
         self.rng.random_range(0..100) < percent
     }
 
-    fn pick(&mut self, weights: impl Iterator<Item = u32> + Clone) -> usize {
+    fn pick_weighted(&mut self, weights: impl Iterator<Item = u32> + Clone) -> usize {
         let sum: u32 = weights.clone().sum();
-        let mut at = self.rng.random_range(0..sum.max(1));
+        let mut remaining = self.rng.random_range(0..sum.max(1));
         for (i, weight) in weights.enumerate() {
-            if at < weight {
+            if remaining < weight {
                 return i;
             }
-            at -= weight;
+            remaining -= weight;
         }
         0
     }
@@ -88,9 +88,9 @@
 }
 
 impl Iterator for Plan {
-    type Item = Planned;
+    type Item = PlannedRequest;
 
-    fn next(&mut self) -> Option<Planned> {
+    fn next(&mut self) -> Option<PlannedRequest> {
         let unit: f64 = self.rng.random();
         self.due_us += -(1.0 - unit).ln() * 1e6 / self.rate_per_s;
         let due_us = self.due_us as u64;
@@ -101,20 +101,20 @@
         self.number += 1;
 
         let weights: Vec<u32> = self.mix.services.iter().map(|s| s.weight).collect();
-        let service = self.pick(weights.into_iter());
+        let service = self.pick_weighted(weights.into_iter());
         let service = self.mix.services[service].clone();
         let weights: Vec<u32> = self.mix.teams.iter().map(|t| t.weight).collect();
-        let team = self.pick(weights.into_iter());
+        let team = self.pick_weighted(weights.into_iter());
         let team = self.mix.teams[team].clone();
         let caller = self.rng.random_range(0..team.callers);
 
         let idempotent = !self.chance(self.mix.not_idempotent_percent);
-        // A patient job without a key could not be asked for again after its
-        // acceptance was lost.
+        // Without a key, a patient job whose acceptance was lost could not be found
+        // again.
         let keyed = !idempotent || service.class == Class::Patient;
         let cancelled = self.chance(self.mix.cancel_percent);
         let twin = self.chance(self.mix.twin_percent) && keyed && !cancelled;
-        Some(Planned {
+        Some(PlannedRequest {
             number,
             due_us,
             service: service.name,
--- a/src/account/runner.rs
+++ b/src/account/runner.rs
@@ -9,21 +9,21 @@
 use crate::model::Class;
 use crate::upstream::RunRecord;
 
-use super::{Answer, Client, Error, Latency, Ledger, Plan, Planned, Sent};
+use super::{Answer, Client, Error, Latency, Ledger, Plan, PlannedRequest, SentRequest};
 
-/// Pause before a request whose answer was lost is sent again.
-const RESEND_PAUSE_MS: u64 = 100;
+/// Delay before a request whose answer was lost is sent again.
+const RESEND_DELAY_MS: u64 = 100;
 
-/// Threads that ask for patient jobs; a poll takes well under a millisecond.
-const POLLERS: usize = 8;
+/// Number of threads that poll patient jobs; one poll takes well under a millisecond.
+const POLLER_THREADS: usize = 8;
 
-/// Stack of one sending thread: thousands of them wait at once.
+/// Stack size of a thread. It is small because thousands of senders wait at once.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// An experiment about to be run.
+/// Configuration of a load experiment.
 #[derive(Debug)]
 pub struct Experiment {
-    /// What is sent.
+    /// Requests to send.
     pub plan: Plan,
     /// Addresses of the entry instances' caller ports.
     pub entries: Vec<String>,
@@ -33,39 +33,40 @@
     pub deadline_ms: u64,
     /// Deadline of patient requests in milliseconds.
     pub patient_deadline_ms: u64,
-    /// Times a request is sent again after a lost answer.
+    /// Maximum number of times a request is sent again after a lost answer.
     pub resends: u32,
-    /// Requests that may be on their way at once.
+    /// Number of sending threads, which bounds the requests in flight.
     pub threads: usize,
-    /// How long after the last answer patient jobs may still finish.
+    /// Time after the last answer within which patient jobs may still finish, in
+    /// milliseconds.
     pub settle_ms: u64,
-    /// How often a patient job is asked for.
+    /// Interval at which a patient job is polled, in milliseconds.
     pub poll_ms: u64,
 }
 
-/// What an experiment brought.
+/// Results of an experiment.
 #[derive(Debug)]
 pub struct Outcome {
-    /// What callers were told.
+    /// Requests and the answers that callers got.
     pub ledger: Ledger,
-    /// How long it took.
+    /// Latencies by class and kind of answer.
     pub latency: Latency,
     /// Requests sent more than 10 ms late because all threads were busy.
     pub sent_late: u64,
-    /// From the first due time to the last urgent answer, in milliseconds.
+    /// Time from the start until all sending threads have ended, in milliseconds.
     pub took_ms: u64,
 }
 
-/// Lateness from which a request counts as sent late: well above what a busy
-/// machine adds to a thread's wake-up, well below what matters in a deadline.
-const LATE_US: u64 = 10_000;
+/// Delay above which a request counts as sent late: well above the wake-up delay of a
+/// thread on a busy machine, and well below what matters for a deadline.
+const SENT_LATE_US: u64 = 10_000;
 
-/// A patient job that is asked for.
+/// An accepted patient job that is polled.
 struct Job {
     number: u64,
     location: String,
-    due: Instant,
-    planned_at: Instant,
+    next_poll: Instant,
+    request_due: Instant,
 }
 
 struct Shared {
@@ -76,16 +77,17 @@
     ledger: Mutex<Ledger>,
     latency: Mutex<Latency>,
     sent_late: Mutex<u64>,
-    /// In the order of their due times, since each is put back with one delay.
+    /// Accepted jobs in the order of their next poll; the order holds because each is
+    /// put back with the same delay.
     jobs: Mutex<VecDeque<Job>>,
-    settled: AtomicBool,
+    stop_polling: AtomicBool,
 }
 
 impl Experiment {
-    /// Sends the plan and waits for the answers.
+    /// Sends the planned requests and waits for the answers.
     ///
     /// # Errors
-    /// A thread could not be started.
+    /// Returns an error if a thread could not be started.
     pub fn run(self) -> Result<Outcome, Error> {
         let threads = self.threads.max(1);
         let settle_ms = self.settle_ms;
@@ -98,19 +100,22 @@
             latency: Mutex::default(),
             sent_late: Mutex::default(),
             jobs: Mutex::default(),
-            settled: AtomicBool::new(false),
+            stop_polling: AtomicBool::new(false),
         };
         let took_ms = thread::scope(|scope| {
-            for _ in 0..POLLERS {
-                builder().spawn_scoped(scope, || shared.poll_loop())?;
+            for _ in 0..POLLER_THREADS {
+                thread_builder().spawn_scoped(scope, || shared.poll_loop())?;
             }
             let senders = (0..threads)
-                .map(|_| builder().spawn_scoped(scope, || shared.send_loop()))
+                .map(|_| thread_builder().spawn_scoped(scope, || shared.send_loop()))
                 .collect::<Result<Vec<_>, _>>();
-            // The pollers end only when told, also if a thread could not start.
-            let senders = senders.inspect_err(|_| shared.settled.store(true, Ordering::Relaxed))?;
+            // The pollers end only on this flag, so it must also be set if a sender could
+            // not be started.
+            let senders =
+                senders.inspect_err(|_| shared.stop_polling.store(true, Ordering::Relaxed))?;
             for sender in senders {
-                // A sender that panicked leaves its request open: it counts as lost.
+                // A sender that panicked leaves its request without a final answer, so
+                // that it counts as lost.
                 let _ = sender.join();
             }
             let took_ms = shared.start.elapsed().as_millis();
@@ -134,11 +139,11 @@
             };
             let due = self.start + Duration::from_micros(planned.due_us);
             thread::sleep(due.saturating_duration_since(Instant::now()));
-            if due.elapsed() > Duration::from_micros(LATE_US) {
+            if due.elapsed() > Duration::from_micros(SENT_LATE_US) {
                 *lock(&self.sent_late) += 1;
             }
-            let sha = hex(&Sha256::digest(planned.body.as_bytes()));
-            lock(&self.ledger).open(planned.number, Sent::new(&planned, sha));
+            let sha = hex_encode(&Sha256::digest(planned.body.as_bytes()));
+            lock(&self.ledger).add_request(planned.number, SentRequest::new(&planned, sha));
             if planned.twin {
                 thread::scope(|scope| {
                     scope.spawn(|| self.send(&planned, due));
@@ -150,76 +155,78 @@
         }
     }
 
-    fn send(&self, planned: &Planned, due: Instant) {
+    fn send(&self, planned: &PlannedRequest, due: Instant) {
         let deadline_ms = match planned.class {
             Class::Urgent => self.experiment.deadline_ms,
             Class::Patient => self.experiment.patient_deadline_ms,
         };
         for resend in 0..=self.experiment.resends {
             if resend > 0 {
-                thread::sleep(Duration::from_millis(RESEND_PAUSE_MS));
+                thread::sleep(Duration::from_millis(RESEND_DELAY_MS));
             }
-            lock(&self.ledger).send(planned.number, resend > 0);
+            lock(&self.ledger).record_attempt(planned.number, resend > 0);
             let (answer, refused) = self.client.call(planned, resend > 0, deadline_ms);
-            let lost = matches!(
+            let is_lost = matches!(
                 answer,
                 Answer::CutOff | Answer::NoEntry | Answer::Malformed { .. }
             );
-            self.note(planned.number, planned.class, due, answer, refused);
-            if !lost {
+            self.record_answer(planned.number, planned.class, due, answer, refused);
+            if !is_lost {
                 return;
             }
         }
     }
 
-    fn note(&self, number: u64, class: Class, due: Instant, answer: Answer, refused: u64) {
-        let us = u64::try_from(due.elapsed().as_micros()).unwrap_or(u64::MAX);
-        lock(&self.latency).record(class, &answer, us);
+    fn record_answer(&self, number: u64, class: Class, due: Instant, answer: Answer, refused: u64) {
+        let latency_us = u64::try_from(due.elapsed().as_micros()).unwrap_or(u64::MAX);
+        lock(&self.latency).record(class, &answer, latency_us);
         if let Answer::Accepted { location } = &answer {
             lock(&self.jobs).push_back(Job {
                 number,
                 location: location.clone(),
-                due: Instant::now(),
-                planned_at: due,
+                next_poll: Instant::now(),
+                request_due: due,
             });
         }
         let mut ledger = lock(&self.ledger);
-        ledger.refuse_connections(refused);
-        ledger.answer(number, answer);
+        ledger.record_refused_connections(refused);
+        ledger.record_answer(number, answer);
     }
 
     fn poll_loop(&self) {
-        let idle = Duration::from_millis(self.experiment.poll_ms.max(1));
-        while !self.settled.load(Ordering::Relaxed) {
+        let poll_interval = Duration::from_millis(self.experiment.poll_ms.max(1));
+        while !self.stop_polling.load(Ordering::Relaxed) {
             let Some(mut job) = lock(&self.jobs).pop_front() else {
-                thread::sleep(idle);
+                thread::sleep(poll_interval);
                 continue;
             };
-            thread::sleep(job.due.saturating_duration_since(Instant::now()));
+            thread::sleep(job.next_poll.saturating_duration_since(Instant::now()));
             let (answer, refused) = self.client.poll(&job.location);
             if answer.is_final() {
-                self.note(job.number, Class::Patient, job.planned_at, answer, refused);
+                self.record_answer(job.number, Class::Patient, job.request_due, answer, refused);
             } else {
-                job.due = Instant::now() + idle;
+                job.next_poll = Instant::now() + poll_interval;
                 lock(&self.jobs).push_back(job);
             }
         }
     }
 
-    /// Waits until no accepted job is open, or the time is up.
+    /// Waits until all accepted jobs have ended, at most for `settle_ms`, and stops the
+    /// pollers.
     fn settle(&self, settle_ms: u64) {
-        let until = Instant::now() + Duration::from_millis(settle_ms);
-        while Instant::now() < until && lock(&self.ledger).open_jobs() > 0 {
+        let give_up_at = Instant::now() + Duration::from_millis(settle_ms);
+        while Instant::now() < give_up_at && lock(&self.ledger).unfinished_jobs() > 0 {
             thread::sleep(Duration::from_millis(self.experiment.poll_ms.max(1)));
         }
-        self.settled.store(true, Ordering::Relaxed);
+        self.stop_polling.store(true, Ordering::Relaxed);
     }
 }
 
-/// Asks the stand-ins at these control addresses for all their runs.
+/// Fetches the run records of the stand-in upstreams at the given control addresses.
 ///
 /// # Errors
-/// One of them did not answer whole; an account without it would miss runs.
+/// Returns an error if one of them gave no complete answer, since an account without
+/// its records would miss runs.
 pub fn fetch_runs(controls: &[String]) -> Result<Vec<RunRecord>, Error> {
     let agent = ureq::Agent::config_builder()
         .max_redirects(0)
@@ -229,7 +236,7 @@
         .new_agent();
     let mut runs = Vec::new();
     for control in controls {
-        let failed = |reason: String| Error::Runs {
+        let runs_error = |reason: String| Error::Runs {
             control: control.clone(),
             reason,
         };
@@ -243,15 +250,15 @@
                     .limit(u64::MAX)
                     .read_to_string()
             })
-            .map_err(|e| failed(e.to_string()))?;
+            .map_err(|e| runs_error(e.to_string()))?;
         for line in text.lines() {
-            runs.push(serde_json::from_str(line).map_err(|e| failed(e.to_string()))?);
+            runs.push(serde_json::from_str(line).map_err(|e| runs_error(e.to_string()))?);
         }
     }
     Ok(runs)
 }
 
-fn builder() -> thread::Builder {
+fn thread_builder() -> thread::Builder {
     thread::Builder::new().stack_size(STACK_BYTES)
 }
 
@@ -263,6 +270,6 @@
     mutex.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn hex_encode(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/tests/load_tool.rs
+++ b/tests/load_tool.rs
@@ -7,7 +7,9 @@
 use std::collections::BTreeSet;
 use std::sync::Mutex;
 
-use rosemarygauge::account::{Account, Answer, Latency, Ledger, Mix, Plan, Planned, Proof, Sent};
+use rosemarygauge::account::{
+    Account, Answer, Latency, Ledger, Mix, Plan, PlannedRequest, Proof, SentRequest,
+};
 use rosemarygauge::model::Class;
 use rosemarygauge::upstream::{RunEnd, RunRecord};
 use support::{FakeEntry, command, free_address, read_report, reply};
@@ -27,7 +29,7 @@
     }
 }
 
-fn planned(class: Class, idempotent: bool) -> Planned {
+fn planned(class: Class, idempotent: bool) -> PlannedRequest {
     Plan::new(request_mix(), 1_000.0, 10_000, "x", 1)
         .find(|planned| planned.class == class && planned.idempotent == idempotent)
         .unwrap()
@@ -49,7 +51,7 @@
 fn not_run() -> Answer {
     Answer::NotRun {
         reason: "queue-full".to_owned(),
-        come_back: true,
+        has_retry_after: true,
     }
 }
 
@@ -80,12 +82,15 @@
     runs: &[RunRecord],
 ) -> Vec<&'static str> {
     let mut ledger = Ledger::default();
-    ledger.open(0, Sent::new(&planned(class, idempotent), "mine".to_owned()));
+    ledger.add_request(
+        0,
+        SentRequest::new(&planned(class, idempotent), "mine".to_owned()),
+    );
     for n in 0..tries {
-        ledger.send(0, n > 0);
+        ledger.record_attempt(0, n > 0);
     }
     for answer in answers {
-        ledger.answer(0, answer.clone());
+        ledger.record_answer(0, answer.clone());
     }
     let account = Account::draw(&ledger, Some(runs));
     let counts = [
@@ -181,8 +186,9 @@
         assert!(planned.is_sorted_by_key(|p| p.due_us));
         let n = planned.len() as f64;
         assert!((3_700.0..4_300.0).contains(&n), "{n}");
-        let share =
-            |pred: &dyn Fn(&Planned) -> bool| planned.iter().filter(|p| pred(p)).count() as f64 / n;
+        let share = |pred: &dyn Fn(&PlannedRequest) -> bool| {
+            planned.iter().filter(|p| pred(p)).count() as f64 / n
+        };
         assert!((0.7..0.8).contains(&share(&|p| p.service == "check")));
         assert!((0.85..0.95).contains(&share(&|p| p.team == "a")));
         assert!((0.45..0.55).contains(&share(&|p| p.idempotent)));
