--- a/tests/load_properties.rs
+++ b/tests/load_properties.rs
@@ -1,5 +1,5 @@
-//! Random schedules of everything that can happen to a dispatcher, checked
-//! against a plain model of what must hold, and against the naive dispatcher.
+//! Random schedules of all dispatcher inputs. Invariants are checked against a simple
+//! model, and results under light load against the naive dispatcher.
 #![allow(missing_docs, clippy::unwrap_used)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,31 +21,31 @@
 const SERVICES: [&str; 4] = ["check", "score", "archive", "nobody"];
 const TEAMS: [&str; 3] = ["north", "south", "west"];
 
-/// What the model knows of a request.
-struct Known {
+/// State of a request in the model.
+struct TrackedRequest {
     request: Request,
     attempts: u32,
-    on: Option<Run>,
+    running_on: Option<RunningOn>,
     may_have_run: bool,
     is_cancelled: bool,
-    is_over: bool,
+    has_ended: bool,
 }
 
 #[derive(Clone)]
-struct Run {
+struct RunningOn {
     instance: InstanceName,
     incarnation: u64,
     zone: ZoneName,
 }
 
-/// The model: everything in plain maps, every check a full scan.
+/// Reference model with plain maps, in which every check is a full scan.
 struct Model {
     rng: ChaCha8Rng,
     now_ms: u64,
-    side: Dispatcher,
+    dispatcher: Dispatcher,
     view: View,
     reports: BTreeMap<InstanceName, (UpstreamReport, u64)>,
-    known: BTreeMap<RequestId, Known>,
+    known: BTreeMap<RequestId, TrackedRequest>,
     is_fresh: bool,
     next_id: u64,
 }
@@ -69,7 +69,7 @@
         let mut model = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now_ms: 0,
-            side: Dispatcher::new(settings, 0),
+            dispatcher: Dispatcher::new(settings, 0),
             view: View::default(),
             reports: BTreeMap::new(),
             known: BTreeMap::new(),
@@ -99,7 +99,7 @@
                 self.report(&name);
             }
             84..88 => self.change_view(),
-            88..92 => self.peer(),
+            88..92 => self.change_peer(),
             92..94 => {
                 self.is_fresh = !self.is_fresh;
                 self.feed(Input::ViewFresh(self.is_fresh));
@@ -124,20 +124,20 @@
             idempotent: self.rng.random_bool(0.5),
             deadline_ms: self.now_ms + [5, 100, 2_000][self.rng.random_range(0..3)],
         };
-        let known = Known {
+        let known = TrackedRequest {
             request: request.clone(),
             attempts: 0,
-            on: None,
+            running_on: None,
             may_have_run: false,
             is_cancelled: false,
-            is_over: false,
+            has_ended: false,
         };
         self.known.insert(request.id, known);
         self.feed(Input::Offer(request));
     }
 
     fn running(&self) -> Vec<RequestId> {
-        let runs = self.known.iter().filter(|(_, k)| k.on.is_some());
+        let runs = self.known.iter().filter(|(_, k)| k.running_on.is_some());
         runs.map(|(id, _)| *id).collect()
     }
 
@@ -148,7 +148,7 @@
         };
         let known = self.known.get_mut(&request).unwrap();
         let attempt = AttemptId(known.attempts);
-        // Now and then the end of an attempt that is over comes again.
+        // Sometimes repeats the end of an attempt that is already over.
         if known.attempts > 1 && self.rng.random_bool(0.3) {
             let attempt = AttemptId(known.attempts - 1);
             self.feed(Input::Lost {
@@ -158,7 +158,7 @@
             });
             return;
         }
-        known.on = None;
+        known.running_on = None;
         let roll = self.rng.random_range(0..10);
         if roll < 6 {
             known.may_have_run = true;
@@ -184,7 +184,7 @@
             },
         };
         if known.is_cancelled {
-            known.is_over = true;
+            known.has_ended = true;
         }
         self.feed(input);
     }
@@ -192,7 +192,7 @@
     fn cancel_one(&mut self) {
         let id = RequestId(self.rng.random_range(0..self.next_id + 2));
         if let Some(known) = self.known.get_mut(&id) {
-            known.is_cancelled |= known.on.is_some();
+            known.is_cancelled |= known.running_on.is_some();
         }
         self.feed(Input::Cancel(id));
     }
@@ -238,7 +238,7 @@
             report: &report,
             lease_until_ms,
         });
-        // An older report that comes late through a peer changes nothing.
+        // An older report that arrives late through a peer must change nothing.
         if self.rng.random_bool(0.2) {
             report.sequence -= 1;
             report.standing = Standing::Serving;
@@ -298,7 +298,7 @@
         self.feed(Input::View(view));
     }
 
-    fn peer(&mut self) {
+    fn change_peer(&mut self) {
         if self.rng.random_bool(0.3) {
             self.feed(Input::PeerGone("entry-1".into()));
             return;
@@ -313,7 +313,7 @@
     }
 
     fn feed(&mut self, input: Input<'_>) {
-        for action in self.side.handle(self.now_ms, input) {
+        for action in self.dispatcher.handle(self.now_ms, input) {
             match action {
                 Action::Dispatch {
                     request,
@@ -323,44 +323,47 @@
                     pool_epoch,
                 } => {
                     let known = &self.known[&request];
-                    assert!(!known.is_over && !known.is_cancelled && known.on.is_none());
+                    assert!(!known.has_ended && !known.is_cancelled && known.running_on.is_none());
                     assert!(!known.may_have_run || known.request.idempotent);
                     assert_eq!(attempt.0, known.attempts + 1);
                     assert_eq!(pool_epoch, self.view.instances[&instance].epoch);
-                    self.check(&known.request, &instance, incarnation);
+                    self.check_dispatch(&known.request, &instance, incarnation);
                     let known = self.known.get_mut(&request).unwrap();
                     known.attempts += 1;
-                    known.on = Some(Run {
+                    known.running_on = Some(RunningOn {
                         zone: self.reports[&instance].0.zone.clone(),
                         instance,
                         incarnation,
                     });
                 }
                 Action::Deliver { request, attempt } => {
-                    let known = self.over(request);
+                    let known = self.record_end(request);
                     assert!(known.may_have_run && attempt.0 == known.attempts);
                 }
                 Action::Refuse { request, .. } => {
-                    let known = self.over(request);
-                    assert!(!known.may_have_run, "not-run, but it may have run");
+                    let known = self.record_end(request);
+                    assert!(
+                        !known.may_have_run,
+                        "refused as not run, but it may have run"
+                    );
                 }
                 Action::GiveUpUnknown { request } => {
-                    assert!(self.over(request).may_have_run);
+                    assert!(self.record_end(request).may_have_run);
                 }
             }
         }
     }
 
-    /// Notes the final answer; there is one at most, and none while it runs.
-    fn over(&mut self, request: RequestId) -> &Known {
+    /// Records the final answer: at most one, and none while an attempt runs.
+    fn record_end(&mut self, request: RequestId) -> &TrackedRequest {
         let known = self.known.get_mut(&request).unwrap();
-        assert!(!known.is_over && !known.is_cancelled && known.on.is_none());
-        known.is_over = true;
+        assert!(!known.has_ended && !known.is_cancelled && known.running_on.is_none());
+        known.has_ended = true;
         known
     }
 
-    /// What must hold of a dispatch, by the state just before it.
-    fn check(&self, request: &Request, instance: &InstanceName, incarnation: u64) {
+    /// Checks the invariants of a dispatch against the state just before it.
+    fn check_dispatch(&self, request: &Request, instance: &InstanceName, incarnation: u64) {
         let member = &self.view.instances[instance];
         let (report, lease_until_ms) = &self.reports[instance];
         assert_eq!(self.view.carriers[&request.service], member.pool);
@@ -369,18 +372,22 @@
         assert!(*lease_until_ms > self.now_ms && request.deadline_ms > self.now_ms);
         assert_eq!(report.incarnation, incarnation);
         assert!(self.is_fresh || report.zone.as_str() == "a");
-        let here = |run: &Run| run.instance == *instance && run.incarnation == incarnation;
-        let slots = self.count(|_, run| here(run));
-        assert!(slots < report.capacity.slots as usize, "slots");
+        let on_same_incarnation =
+            |run: &RunningOn| run.instance == *instance && run.incarnation == incarnation;
+        let slots = self.count(|_, run| on_same_incarnation(run));
+        assert!(
+            slots < report.capacity.slots as usize,
+            "more requests than slots"
+        );
         let cores = |service: &ServiceName| if service.as_str() == "archive" { 6 } else { 1 };
         let running = self
             .known
             .values()
-            .filter(|k| k.on.as_ref().is_some_and(here));
+            .filter(|k| k.running_on.as_ref().is_some_and(on_same_incarnation));
         let used: u32 = running.map(|k| cores(&k.request.service)).sum();
         assert!(
             used + cores(&request.service) <= report.capacity.cores,
-            "fit"
+            "demand exceeds the cores"
         );
         if let Some(row) = self.view.rows.get(&RowKey::Service {
             service: request.service.clone(),
@@ -390,7 +397,7 @@
                 self.count(|r, run| r.service == request.service && run.zone == report.zone);
             assert!(
                 row.weight > 0 && running < row.limit_in_flight as usize,
-                "row"
+                "limit of the row exceeded"
             );
         }
         let team = request.team.clone();
@@ -398,35 +405,39 @@
             let running = self.count(|r, _| r.team == team);
             assert!(
                 row.weight > 0 && running < row.limit_in_flight as usize,
-                "team"
+                "quota of the team exceeded"
             );
         }
     }
 
-    fn count(&self, which: impl Fn(&Request, &Run) -> bool) -> usize {
+    fn count(&self, which: impl Fn(&Request, &RunningOn) -> bool) -> usize {
         let runs = self
             .known
             .values()
-            .filter_map(|k| Some((&k.request, k.on.as_ref()?)));
+            .filter_map(|k| Some((&k.request, k.running_on.as_ref()?)));
         runs.filter(|(request, run)| which(request, run)).count()
     }
 
-    /// Ends all that runs, lets all time run out, and wants nothing left.
+    /// Ends all running attempts, lets all timers expire, and checks that no request is
+    /// pending.
     fn finish(&mut self) {
         for _ in 0..50 {
             for request in self.running() {
                 let known = self.known.get_mut(&request).unwrap();
-                known.on = None;
+                known.running_on = None;
                 known.may_have_run = true;
-                known.is_over |= known.is_cancelled;
+                known.has_ended |= known.is_cancelled;
                 let attempt = AttemptId(known.attempts);
                 self.feed(finished(request, attempt, 200, 1_000));
             }
             self.now_ms += 100;
             self.feed(Input::Tick);
         }
-        assert!(self.known.values().all(|k| k.is_over), "no answer");
-        assert_eq!(self.side.pending(), 0);
+        assert!(
+            self.known.values().all(|k| k.has_ended),
+            "a request got no answer"
+        );
+        assert_eq!(self.dispatcher.pending(), 0);
     }
 }
 
@@ -452,16 +463,19 @@
 
 #[test]
 fn the_same_seed_gives_the_same_actions() {
-    let play = || {
+    let run_schedule = || {
         let mut model = Model::new(7);
         (0..2_000).for_each(|_| model.step());
         let ends = model
             .known
             .values()
-            .map(|k| (k.request.id, k.attempts, k.is_over));
-        (ends.collect::<Vec<_>>(), model.side.status(model.now_ms))
+            .map(|k| (k.request.id, k.attempts, k.has_ended));
+        (
+            ends.collect::<Vec<_>>(),
+            model.dispatcher.status(model.now_ms),
+        )
     };
-    assert_eq!(play(), play());
+    assert_eq!(run_schedule(), run_schedule());
 }
 
 #[test]
