--- a/src/maintenance/controller/absences.rs
+++ b/src/maintenance/controller/absences.rs
@@ -51,7 +51,7 @@
         // A failed instance would carry its failure into the new pool, and the old
         // pool's budget would not count the loss.
         if step.fleet.is_failed(name) {
-            let reason = "it failed during the move".to_owned();
+            let reason = "it failed half way".to_owned();
             let instance = name.clone();
             self.propose(step, name, FleetCommand::AbortMove { instance, reason });
             return;
@@ -88,7 +88,7 @@
         if self.is_overdue(step, name, timeout_ms(drain_ms)) {
             let reason = verdict
                 .err()
-                .unwrap_or_else(|| "it has never sent a report".to_owned());
+                .unwrap_or_else(|| "it was never heard".to_owned());
             let instance = name.clone();
             self.propose(step, name, FleetCommand::PutOff { instance, reason });
         }
--- a/src/maintenance/controller/loans.rs
+++ b/src/maintenance/controller/loans.rs
@@ -14,7 +14,7 @@
 #[derive(derive_more::Display)]
 enum LoanCause<'a> {
     /// A wave ends earlier with it.
-    #[display("lent for wave {wave}, which ends {saved_s} s earlier")]
+    #[display("lent for wave {wave}, which wins {saved_s} s")]
     Wave { wave: &'a WaveName, saved_s: u64 },
     /// The pool's budget stays broken despite repair.
     #[display("lent because the pool's budget stays broken")]
@@ -95,7 +95,7 @@
                 let command = FleetCommand::Lend {
                     instance: name.clone(),
                     to: home.clone(),
-                    reason: "returned from a loan".to_owned(),
+                    reason: "taken home".to_owned(),
                 };
                 self.propose(step, name, command);
             }
--- a/src/maintenance/stop_proof.rs
+++ b/src/maintenance/stop_proof.rs
@@ -40,7 +40,7 @@
     #[display("all entry instances acknowledged")]
     Acknowledged,
     /// Every dispatch lease has expired and nothing runs.
-    #[display("every dispatch lease has expired")]
+    #[display("every permission to dispatch has run out")]
     LeaseExpired,
     /// Some entry instances did not acknowledge the drain.
     #[display("entry instance {} has not acknowledged the drain", join_names(_0))]
@@ -55,7 +55,7 @@
     },
     /// No report within a dispatch lease: the instance may have failed right after
     /// its last report.
-    #[display("the instance sent no report within a dispatch lease")]
+    #[display("the instance was not heard for a lease")]
     NoRecentReport,
     /// The upstream reports running requests.
     #[display("{_0} requests run on it")]
