--- a/src/state/entries.rs
+++ b/src/state/entries.rs
@@ -20,6 +20,7 @@
     pub zone: Option<ZoneName>,
     /// Whether it was declared lost after its last command.
     pub lost: bool,
+    #[serde(rename = "newest")]
     newest_sequence: u64,
     /// Replies by sequence number; none where the reply was too large to keep.
     replies: BTreeMap<u64, Option<Reply>>,
--- a/src/state/state.rs
+++ b/src/state/state.rs
@@ -26,6 +26,7 @@
 pub struct State {
     clock: Clock,
     entries: Entries,
+    #[serde(rename = "changes")]
     change_replies: ChangeReplies,
     rows: Rows,
     fleet: Fleet,
