--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -12,8 +12,8 @@
 use tokio::task::yield_now;
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
+use super::boottime::boottime_ms;
 use super::desk::{Board, Desk, Incoming};
-use super::steady::steady_ms;
 use super::{
     Effect, Event, EventKind, Gateway, GatewayEffect, LoopMeter, Machine, MachineOrder,
     MachineOutcome, Node, Order, OrderOutcome, PeerMessage, WallClock,
@@ -128,7 +128,7 @@
             calls,
             signals,
             links,
-            last_batch_ms: steady_ms(),
+            last_batch_ms: boottime_ms(),
         }
     }
 
@@ -164,8 +164,8 @@
                 else => return Ok(()),
             };
             meter.record_queue_length(self.signals.len() + outcomes.len() + self.calls.len());
-            if steady_ms() > self.last_batch_ms + STALL_THRESHOLD_MS {
-                let effects = node.handle(steady_ms(), Event::Tick);
+            if boottime_ms() > self.last_batch_ms + STALL_THRESHOLD_MS {
+                let effects = node.handle(boottime_ms(), Event::Tick);
                 self.carry_out(effects, &disk, &outside, &completions);
             }
             let batch_began = Instant::now();
@@ -173,7 +173,7 @@
             while let Some(next) = event.take() {
                 let kind = EventKind::from(&next);
                 let began = Instant::now();
-                let effects = node.handle(steady_ms(), next);
+                let effects = node.handle(boottime_ms(), next);
                 let decided = Instant::now();
                 meter.record_event(kind, decided - began);
                 if self.carry_out(effects, &disk, &outside, &completions) {
@@ -186,7 +186,7 @@
                     event = self.next_queued(&mut queue, &mut outcomes)?;
                 }
             }
-            let now_ms = steady_ms();
+            let now_ms = boottime_ms();
             self.last_batch_ms = now_ms;
             if now_ms >= next_clock_check_ms {
                 next_clock_check_ms = now_ms + CLOCK_CHECK_INTERVAL_MS;
@@ -302,10 +302,10 @@
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut stop_by_ms = None;
         loop {
-            let now_ms = steady_ms();
+            let now_ms = boottime_ms();
             let effects = tokio::select! {
                 Some(signal) = self.signals.recv() => match signal {
-                    Signal::Peer(from, message) => gateway.handle_message(steady_ms(), &from, message),
+                    Signal::Peer(from, message) => gateway.handle_message(boottime_ms(), &from, message),
                     Signal::Found(members) => {
                         gateway.add_seeds(members);
                         Vec::new()
@@ -318,10 +318,10 @@
                     Signal::Persisted(_) | Signal::DiskFailed(_) => Vec::new(),
                 },
                 Some(call) = self.calls.recv() => {
-                    let now_ms = steady_ms();
+                    let now_ms = boottime_ms();
                     gateway.add_call(now_ms, call.id, call.call, now_ms + call.patience_ms)
                 }
-                _ = tick.tick() => gateway.tick(steady_ms()),
+                _ = tick.tick() => gateway.tick(boottime_ms()),
                 else => return,
             };
             for effect in effects {
@@ -330,7 +330,7 @@
                     GatewayEffect::Send { to, message } => self.links.send(&to, &message),
                 }
             }
-            let now_ms = steady_ms();
+            let now_ms = boottime_ms();
             self.desk.show(Board {
                 report_places: Vec::new(),
                 ready: stop_by_ms.is_none() && gateway.is_ready(now_ms),
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -16,7 +16,7 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use crate::control::steady_ms;
+use crate::control::boottime_ms;
 use crate::places::{Place, Places};
 
 /// The largest answer that is read: a listing of 500 ends and as many runs has some
@@ -206,7 +206,7 @@
         limit: Duration,
     ) -> Result<(StatusCode, Bytes), ClientError> {
         let due = Instant::now() + limit;
-        let due_ms = steady_ms() + limit.as_millis() as u64;
+        let due_ms = boottime_ms() + limit.as_millis() as u64;
         let room = self.room(address);
         let place = timeout_at(due, room.acquire()).await;
         let Ok(Ok(_place)) = place else {
@@ -225,7 +225,7 @@
             };
             // A loop that was held, or suspended, finds a free connection beside the end
             // of the limit. What left now would arrive after its sender gave it up.
-            if steady_ms() >= due_ms {
+            if boottime_ms() >= due_ms {
                 self.keep(address, connection);
                 return Err(ClientError::NotSent);
             }
--- a/src/platform/serve.rs
+++ b/src/platform/serve.rs
@@ -16,7 +16,7 @@
 use super::{CaughtSignals, ControlCalls, EntryCalls, Platform, Settings, SettingsFault};
 use crate::control::{
     self, BudgetedPlaces, ConnectionBudget, Desk, Driver, Gateway, Node, NodeSettings, PeerMessage,
-    Policy, PolicyFault, Signal, WallClock, steady_ms,
+    Policy, PolicyFault, Signal, WallClock, boottime_ms,
 };
 use crate::http::{Handler, HttpServer, Limits, text};
 use crate::link::{Directory, LinkError, Links, LinksConfig, PeerClass, PeerKey};
@@ -115,7 +115,7 @@
     };
     let wall = WallClock::default();
     wall.set_offset_ms(settings.clock_offset_ms);
-    let node = Node::new(node, recovered, wall.unix_ms(), steady_ms());
+    let node = Node::new(node, recovered, wall.unix_ms(), boottime_ms());
     let outside = Rc::new(Platform::new(&settings, places.workers));
     let handler = ControlCalls::new(Arc::clone(&desk), settings.clone()).handler();
     caught.pass_on(signals, wall.clone())?;
--- a/tests/control/driver.rs
+++ b/tests/control/driver.rs
@@ -7,7 +7,7 @@
 use rosemarygauge::consensus::Recovered;
 use rosemarygauge::control::{
     Desk, Driver, Links, Local, Machine, MachineOrder, MachineOutcome, Node, NodeSettings, Order,
-    OrderOutcome, Outside, PeerMessage, Policy, Signal, WallClock, steady_ms,
+    OrderOutcome, Outside, PeerMessage, Policy, Signal, WallClock, boottime_ms,
 };
 use rosemarygauge::jobs::TaskId;
 use rosemarygauge::model::{EntryName, InstanceName};
@@ -67,7 +67,7 @@
         policy: Policy::default(),
         seed: 1,
     };
-    Node::new(settings, Recovered::default(), 0, steady_ms())
+    Node::new(settings, Recovered::default(), 0, boottime_ms())
 }
 
 /// Guards against an event loop that starves sockets and timers. Hundreds of events are
