--- a/src/control/backlog.rs
+++ b/src/control/backlog.rs
@@ -171,7 +171,7 @@
             }
             let (takes_ms, chains_ms) = times.get_or_insert_with(|| {
                 let takes_ms = world.estimates.run_times_ms(job);
-                let chains_ms = job.spec.chains_ms(&takes_ms);
+                let chains_ms = job.spec.critical_paths_ms(&takes_ms);
                 (takes_ms, chains_ms)
             });
             let remaining = Remaining {
--- a/src/control/demand.rs
+++ b/src/control/demand.rs
@@ -133,7 +133,7 @@
     policy: &NeedsPolicy,
     pool: &mut PoolDemand,
 ) {
-    let chains_ms = job.spec.chains_ms(takes_ms);
+    let chains_ms = job.spec.critical_paths_ms(takes_ms);
     let chain_ms = chains_ms.iter().copied().max().unwrap_or(0);
     for (k, occurrence) in job.occurrences() {
         let mut work = Load::default();
--- a/src/control/history.rs
+++ b/src/control/history.rs
@@ -24,7 +24,7 @@
     /// Records the acceptance of a job that is not recurring and has no lasting step.
     pub fn record_arrival(&mut self, at_unix_ms: u64, job: &Job) {
         let estimated_ms: Vec<u64> = job.spec.steps.iter().map(|s| s.estimate_ms).collect();
-        let chain_ms = job.spec.chains_ms(&estimated_ms).into_iter().max();
+        let chain_ms = job.spec.critical_paths_ms(&estimated_ms).into_iter().max();
         let steps = job.spec.steps.iter();
         let work = steps.fold(Load::default(), |work, step| {
             let held_ms = f64::from(step.tasks) * step.estimate_ms as f64;
--- a/src/control/node/applied.rs
+++ b/src/control/node/applied.rs
@@ -41,7 +41,7 @@
                 continue;
             };
             let takes_ms = self.state.history().estimates().run_times_ms(job);
-            let chain_ms = job.spec.chains_ms(&takes_ms).into_iter().max();
+            let chain_ms = job.spec.critical_paths_ms(&takes_ms).into_iter().max();
             let chain_ms = chain_ms.unwrap_or(0);
             let configuration = self.state.configuration();
             let queue = configuration.and_then(|c| c.queue(&job.queue));
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -160,7 +160,7 @@
                 });
             }
             Change::Due { job, occurrence } => {
-                self.update_job(at_unix_ms, *job, |job| job.make_due(*occurrence));
+                self.update_job(at_unix_ms, *job, |job| job.create_occurrence(*occurrence));
             }
             Change::Place {
                 task,
@@ -180,7 +180,7 @@
                 worker,
             } => {
                 let unplaced = self.update_job(at_unix_ms, task.job, |job| {
-                    job.unplace(*task, *attempt, worker)
+                    job.cancel_placement(*task, *attempt, worker)
                 });
                 if unplaced == Some(true) {
                     self.runs.remove(worker, task.job);
@@ -281,7 +281,7 @@
             at_unix_ms,
         );
         if spec.recurrence.is_none() {
-            job.make_due(0);
+            job.create_occurrence(0);
         }
         if job.spec.recurrence.is_none() && !job.spec.lasts() {
             self.history.record_arrival(at_unix_ms, &job);
@@ -341,7 +341,7 @@
         let job = self.jobs.get_mut(&id)?;
         let outcome = change(job);
         job.settle(at_unix_ms);
-        if job.verdict.is_some() && job.is_quiet() {
+        if job.verdict.is_some() && job.has_no_runs() {
             self.active.remove(&id);
         }
         Some(outcome)
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -72,7 +72,7 @@
     }
 
     /// Creates an occurrence that has come due, unless it exists or is done.
-    pub fn make_due(&mut self, occurrence: u32) {
+    pub fn create_occurrence(&mut self, occurrence: u32) {
         if occurrence >= self.done_below && occurrence < self.spec.occurrences() {
             let spec = &self.spec;
             self.occurrences
@@ -166,7 +166,7 @@
 
     /// Removes a run whose order to start had no effect and never will. Returns
     /// `false` if the run is not recorded.
-    pub fn unplace(&mut self, id: TaskId, attempt: u32, worker: &InstanceName) -> bool {
+    pub fn cancel_placement(&mut self, id: TaskId, attempt: u32, worker: &InstanceName) -> bool {
         self.task_mut(id)
             .is_some_and(|task| remove_run(task, attempt, worker))
     }
@@ -255,7 +255,7 @@
     }
 
     /// Whether no run of it may be in progress.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_runs(&self) -> bool {
         self.runs().next().is_none()
     }
 
--- a/src/jobs/spec.rs
+++ b/src/jobs/spec.rs
@@ -97,7 +97,7 @@
 
     /// The length of the critical path from each step to the end, in milliseconds, if a
     /// task of each step takes `takes_ms`.
-    pub fn chains_ms(&self, takes_ms: &[u64]) -> Vec<u64> {
+    pub fn critical_paths_ms(&self, takes_ms: &[u64]) -> Vec<u64> {
         let mut longest_ms = takes_ms.to_vec();
         for step in (0..self.steps.len()).rev() {
             for dependency in &self.steps[step].after {
--- a/tests/control/lapsing.rs
+++ b/tests/control/lapsing.rs
@@ -118,7 +118,7 @@
                 let (queue, pool) = ("quick".to_owned(), "east".into());
                 let mut new = Job::new(*job, queue, pool, Arc::clone(spec), 3, now_ms);
                 if spec.recurrence.is_none() {
-                    new.make_due(0);
+                    new.create_occurrence(0);
                 }
                 self.jobs.insert(*job, new);
                 self.active.insert(*job);
@@ -127,7 +127,7 @@
                 job.verdict.get_or_insert(JobState::Cancelled);
             }),
             Change::Due { job, occurrence } => {
-                self.with(now_ms, *job, |job| job.make_due(*occurrence));
+                self.with(now_ms, *job, |job| job.create_occurrence(*occurrence));
             }
             Change::Place {
                 task,
@@ -141,7 +141,7 @@
                 attempt,
                 worker,
             } => self.with(now_ms, task.job, |job| {
-                job.unplace(*task, *attempt, worker);
+                job.cancel_placement(*task, *attempt, worker);
             }),
             Change::End {
                 task,
@@ -170,7 +170,7 @@
         };
         change(job);
         job.settle(now_ms);
-        if job.verdict.is_some() && job.is_quiet() {
+        if job.verdict.is_some() && job.has_no_runs() {
             self.active.remove(&id);
         }
     }
--- a/tests/control/specs.rs
+++ b/tests/control/specs.rs
@@ -18,7 +18,7 @@
         3,
         1_000,
     );
-    job.make_due(0);
+    job.create_occurrence(0);
     job
 }
 
@@ -83,7 +83,10 @@
         ..step(1)
     };
     let spec = job(vec![step(1), step(1), after(vec![0, 1]), after(vec![2])]);
-    assert_eq!(spec.chains_ms(&[100, 900, 50, 7]), [157, 957, 57, 7]);
+    assert_eq!(
+        spec.critical_paths_ms(&[100, 900, 50, 7]),
+        [157, 957, 57, 7]
+    );
 }
 
 /// The end of one task of a gang ends all of them, and they share one checkpoint.
@@ -137,13 +140,13 @@
         0,
     );
     assert_eq!(job.next_due(), Some((0, 5_000)));
-    job.make_due(0);
+    job.create_occurrence(0);
     assert_eq!(job.next_due(), Some((1, 6_000)));
     job.place(0, task(0, 0), 1, &"i".into());
     job.end(task(0, 0), 1, &"i".into(), Ending::Done, "");
     job.settle(5_500);
     assert_eq!(job.state(), JobState::Running);
-    job.make_due(1);
+    job.create_occurrence(1);
     let second = TaskId {
         occurrence: 1,
         ..task(0, 0)
