--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -140,7 +140,7 @@
     pub async fn run_control(
         mut self,
         mut node: Node,
-        disk: Sender<storage::Job>,
+        disk: Sender<storage::WriteJob>,
         outside: Rc<dyn Outside>,
         wall: WallClock,
     ) -> Result<(), StorageError> {
@@ -239,7 +239,7 @@
     fn carry_out(
         &self,
         effects: Vec<Effect>,
-        disk: &Sender<storage::Job>,
+        disk: &Sender<storage::WriteJob>,
         outside: &Rc<dyn Outside>,
         completions: &UnboundedSender<Event>,
     ) -> bool {
@@ -249,7 +249,7 @@
                 Effect::Answer { id, answer } => self.desk.answer(id, answer),
                 Effect::Send { to, message } => self.links.send(&to, &message),
                 Effect::Persist { token, records } => {
-                    if disk.send(storage::Job { token, records }).is_err() {
+                    if disk.send(storage::WriteJob { token, records }).is_err() {
                         tracing::error!("disk: the writer thread has ended");
                     }
                 }
--- a/src/entry/driver.rs
+++ b/src/entry/driver.rs
@@ -180,7 +180,7 @@
     }
 }
 
-fn start_disk(disk: Disk, inputs: Sender<Input>) -> Result<Sender<storage::Job>, DriverError> {
+fn start_disk(disk: Disk, inputs: Sender<Input>) -> Result<Sender<storage::WriteJob>, DriverError> {
     let (tx, rx) = channel();
     storage::spawn(disk, rx, move |synced| {
         let input = match synced {
@@ -224,7 +224,7 @@
     outgoing: Outgoing,
     links: Links<PeerFrame>,
     health: Arc<HealthBoard>,
-    disk: Option<Sender<storage::Job>>,
+    disk: Option<Sender<storage::WriteJob>>,
     stop_callers: watch::Sender<bool>,
     stop_all: watch::Sender<bool>,
     http: Option<JoinHandle<()>>,
@@ -246,7 +246,7 @@
             Effect::Persist { token, records } => {
                 if let Some(disk) = &self.disk {
                     // A disk thread that ended has said why; see `Input`.
-                    let _ = disk.send(storage::Job { token, records });
+                    let _ = disk.send(storage::WriteJob { token, records });
                 }
             }
             Effect::Health(health) => self.health.show(health),
--- a/src/platform/serve.rs
+++ b/src/platform/serve.rs
@@ -276,7 +276,7 @@
 fn start_disk(
     disk: Disk,
     signals: UnboundedSender<Signal>,
-) -> Result<mpsc::Sender<storage::Job>, ServeError> {
+) -> Result<mpsc::Sender<storage::WriteJob>, ServeError> {
     let (tx, rx) = mpsc::channel();
     storage::spawn(disk, rx, move |synced| {
         let signal = match synced {
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -18,4 +18,4 @@
 
 pub use disk::Disk;
 pub use error::StorageError;
-pub use worker::{Job, spawn};
+pub use worker::{WriteJob, spawn};
--- a/src/storage/worker.rs
+++ b/src/storage/worker.rs
@@ -11,7 +11,7 @@
 
 /// A write job for the disk thread.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Job {
+pub struct WriteJob {
     /// Identifies the write in the completion callback.
     pub token: u64,
     /// The records to write.
@@ -28,7 +28,7 @@
 /// Returns [`StorageError::Io`] if the thread cannot be started.
 pub fn spawn(
     mut disk: Disk,
-    jobs: Receiver<Job>,
+    jobs: Receiver<WriteJob>,
     mut on_synced: impl FnMut(Result<u64, StorageError>) + Send + 'static,
 ) -> Result<JoinHandle<()>, StorageError> {
     let folder = disk.folder().to_path_buf();
@@ -37,7 +37,7 @@
         .spawn(move || {
             while let Ok(first) = jobs.recv() {
                 let waiting = jobs.try_iter().take(MAX_JOBS_PER_SYNC - 1);
-                let batch: Vec<Job> = std::iter::once(first).chain(waiting).collect();
+                let batch: Vec<WriteJob> = std::iter::once(first).chain(waiting).collect();
                 let batches: Vec<&[Record]> = batch.iter().map(|j| &j.records[..]).collect();
                 if let Err(error) = disk.persist(&batches) {
                     return on_synced(Err(error));
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rosemarygauge::consensus::{Entry, HardState, Membership, Record, Recovered, Snapshot};
-use rosemarygauge::storage::{Disk, Job, StorageError, spawn};
+use rosemarygauge::storage::{Disk, StorageError, WriteJob, spawn};
 
 /// Size of the last frame: header, record tag, index, term, command length, command, and the
 /// tag for no membership.
@@ -261,7 +261,7 @@
     let (completions, completed) = mpsc::channel();
     for token in 1..=100 {
         let records = hard.clone();
-        jobs.send(Job { token, records }).unwrap();
+        jobs.send(WriteJob { token, records }).unwrap();
     }
     let on_synced =
         move |result: Result<u64, StorageError>| completions.send(result.unwrap()).unwrap();
