--- a/src/consensus/follower.rs
+++ b/src/consensus/follower.rs
@@ -3,7 +3,7 @@
 
 use crate::model::EntryName;
 
-use super::{Entry, Heartbeat, Message, Record, Replica, Reply, ReplyOutcome, Stamp};
+use super::{Entry, Heartbeat, Message, Record, Replica, Reply, ReplyOutcome, Timestamp};
 
 use rand::Rng;
 
@@ -126,7 +126,7 @@
         let reply = Reply {
             term: self.hard.term,
             echo_ms: beat.sent_ms,
-            stamp: Stamp {
+            stamp: Timestamp {
                 start: self.start_id,
                 at_ms: now_ms,
             },
--- a/src/consensus/input.rs
+++ b/src/consensus/input.rs
@@ -29,7 +29,7 @@
         change: VoterChange,
     },
     /// Announces another entry instance, which becomes a peer.
-    Meet {
+    AddPeer {
         /// Name of the peer.
         name: EntryName,
     },
--- a/src/consensus/leader.rs
+++ b/src/consensus/leader.rs
@@ -101,7 +101,7 @@
     }
 
     pub(super) fn tick_leader(&mut self, now_ms: u64) {
-        if self.lost_quorum(now_ms) {
+        if self.has_lost_quorum(now_ms) {
             self.leader = None;
             return self.become_follower(now_ms);
         }
@@ -126,7 +126,7 @@
     /// side elects a new leader and changes pools, so that one instance would serve two
     /// pools. The voters elect no other leader for a whole election timeout; the
     /// remaining tenth allows for clock drift.
-    pub fn lost_quorum(&self, now_ms: u64) -> bool {
+    pub fn has_lost_quorum(&self, now_ms: u64) -> bool {
         let RoleState::Leader(leader) = &self.role_state else {
             return false;
         };
@@ -334,7 +334,8 @@
     /// Returns the heartbeat for the next message to the peer. If the leader has a quorum,
     /// the heartbeat grants a view lease counted from the peer's latest timestamp.
     fn next_heartbeat(&mut self, now_ms: u64, to: &EntryName) -> Option<Heartbeat> {
-        let quorum_confirmed = self.quorum_heard_ms(now_ms).is_some() && !self.lost_quorum(now_ms);
+        let quorum_confirmed =
+            self.quorum_heard_ms(now_ms).is_some() && !self.has_lost_quorum(now_ms);
         let lease_ms = self.granted_lease_ms();
         let RoleState::Leader(leader) = &mut self.role_state else {
             return None;
--- a/src/consensus/message.rs
+++ b/src/consensus/message.rs
@@ -109,7 +109,7 @@
     pub sent_ms: u64,
     /// The latest timestamp received from the receiver, which extends the receiver's view
     /// lease; `None` while the leader has no quorum.
-    pub heard: Option<Stamp>,
+    pub heard: Option<Timestamp>,
     /// What the receiver has acknowledged as durable in this term.
     pub acked: Option<Acked>,
     /// Commit index of the leader.
@@ -118,7 +118,7 @@
 
 /// A timestamp on the sender's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct Timestamp {
     /// Random number that identifies one start of the sender's process. Timestamps of
     /// different starts cannot be compared.
     pub start: u32,
@@ -143,7 +143,7 @@
     /// [`Heartbeat::sent_ms`] of the message to which this replies.
     pub echo_ms: u64,
     /// Time at which the reply was created.
-    pub stamp: Stamp,
+    pub stamp: Timestamp,
     /// Incarnation of the replica's data folder; `None` without one.
     pub incarnation: Option<u64>,
     /// The highest index applied.
--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -36,7 +36,7 @@
 pub use input::Input;
 pub use leader::COMMAND_LIMIT_BYTES;
 pub use membership::Membership;
-pub use message::{Acked, Heartbeat, Message, Reply, ReplyOutcome, Stamp, VoteRequest};
+pub use message::{Acked, Heartbeat, Message, Reply, ReplyOutcome, Timestamp, VoteRequest};
 pub use record::{HardState, Record};
 pub use recovered::Recovered;
 pub use replica::Replica;
--- a/src/consensus/progress.rs
+++ b/src/consensus/progress.rs
@@ -1,7 +1,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use super::{Reply, Snapshot, Stamp};
+use super::{Reply, Snapshot, Timestamp};
 
 /// Bounds the unacknowledged batches per peer. Eight keep a link with a latency of a few
 /// milliseconds busy; more would only be wasted on a peer that is down.
@@ -21,7 +21,7 @@
     /// Sending time of the latest message of this leader that the peer answered.
     pub(super) echo_ms: Option<u64>,
     /// The latest timestamp received from the peer.
-    pub(super) stamp: Option<Stamp>,
+    pub(super) stamp: Option<Timestamp>,
     /// End of the last granted view lease, on the leader's clock.
     pub(super) lease_end_ms: u64,
     /// Time of the last message to the peer.
@@ -86,7 +86,7 @@
             Some(stamp) if stamp.start == reply.stamp.start => {
                 self.applied_index = self.applied_index.max(reply.applied_index);
                 let at_ms = stamp.at_ms.max(reply.stamp.at_ms);
-                self.stamp = Some(Stamp { at_ms, ..stamp });
+                self.stamp = Some(Timestamp { at_ms, ..stamp });
             }
             _ => {
                 self.applied_index = reply.applied_index;
--- a/src/consensus/replica.rs
+++ b/src/consensus/replica.rs
@@ -128,7 +128,7 @@
             Input::Message { from, message } => self.handle_message(now_ms, from, message),
             Input::Propose { command } => self.propose(command),
             Input::ChangeVoters { change } => self.change_voters(change),
-            Input::Meet { name } => self.add_peer(now_ms, name),
+            Input::AddPeer { name } => self.add_peer(now_ms, name),
             Input::Resign => self.resign(now_ms),
             Input::Persisted { token } => self.handle_persisted(now_ms, token),
             Input::SnapshotTaken { index, data } => self.handle_snapshot_taken(index, data),
--- a/src/consensus/status_queries.rs
+++ b/src/consensus/status_queries.rs
@@ -6,7 +6,7 @@
 
 use super::leader::LeaderState;
 use super::replica::RoleState;
-use super::{Replica, Role, Stamp, Status, VoterState};
+use super::{Replica, Role, Status, Timestamp, VoterState};
 
 impl Replica {
     /// Returns this replica's view of the log and of its peers.
@@ -68,13 +68,13 @@
 
     /// Returns the age of a timestamp in milliseconds, or `None` if another start of the
     /// replica created it.
-    pub fn stamp_age_ms(&self, now_ms: u64, stamp: Stamp) -> Option<u64> {
+    pub fn stamp_age_ms(&self, now_ms: u64, stamp: Timestamp) -> Option<u64> {
         (stamp.start == self.start_id).then(|| now_ms.saturating_sub(stamp.at_ms))
     }
 
     /// On the leader: returns each peer that has answered, with the latest timestamp received
     /// from it and the age in milliseconds of the latest message that it answered.
-    pub fn peers_heard(&self, now_ms: u64) -> Vec<(&EntryName, Stamp, u64)> {
+    pub fn peer_contacts(&self, now_ms: u64) -> Vec<(&EntryName, Timestamp, u64)> {
         let RoleState::Leader(leader) = &self.role_state else {
             return Vec::new();
         };
--- a/src/control/carriers.rs
+++ b/src/control/carriers.rs
@@ -14,7 +14,7 @@
 use super::carrier::ORDER_MAX_AGE_MS;
 use super::peer_message::batches;
 use super::{Order, PeerMessage};
-use crate::consensus::Stamp;
+use crate::consensus::Timestamp;
 use crate::model::{EntryName, InstanceName};
 
 /// Time beyond an order's own timeout for which its outcome is awaited: the order may be
@@ -47,7 +47,7 @@
 
 #[derive(Debug, Default)]
 struct Follower {
-    stamp: Option<Stamp>,
+    stamp: Option<Timestamp>,
     excluded_until_ms: u64,
     consecutive_losses: u32,
     /// Open orders, and the time at which each counts as unanswered.
@@ -73,7 +73,7 @@
     pub fn update(
         &mut self,
         now_ms: u64,
-        heard: &[(&EntryName, Stamp, u64)],
+        heard: &[(&EntryName, Timestamp, u64)],
         wanted: usize,
     ) -> Losses {
         let mut losses = Losses::default();
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -213,7 +213,7 @@
     /// start elsewhere while their earlier runs still run. No other leader is elected
     /// before this condition holds.
     fn step_down_without_quorum(&mut self, now_ms: u64) {
-        if self.leader_state.is_some() && self.replica.lost_quorum(now_ms) {
+        if self.leader_state.is_some() && self.replica.has_lost_quorum(now_ms) {
             self.step_replica(now_ms, Input::Tick);
             self.sync_leadership(now_ms);
         }
--- a/src/control/node/carried_orders.rs
+++ b/src/control/node/carried_orders.rs
@@ -5,7 +5,7 @@
 use super::super::carriers::Losses;
 use super::super::{Carrier, Decision, Effect, Order, OrderOutcome};
 use super::Node;
-use crate::consensus::Stamp;
+use crate::consensus::Timestamp;
 use crate::model::EntryName;
 
 impl Node {
@@ -20,7 +20,7 @@
             .policy
             .carriers
             .wanted(self.state.workers().len());
-        let heard = self.replica.peers_heard(now_ms);
+        let heard = self.replica.peer_contacts(now_ms);
         let losses = lead.carriers.update(now_ms, &heard, target_count);
         self.handle_carrier_losses(now_ms, losses);
     }
@@ -86,7 +86,7 @@
         now_ms: u64,
         from: &EntryName,
         term: u64,
-        heard: Stamp,
+        heard: Timestamp,
         orders: Vec<Order>,
     ) {
         if !self.is_follower_of(from, term) {
--- a/src/control/node/members.rs
+++ b/src/control/node/members.rs
@@ -40,7 +40,7 @@
         let mut members = self.relay.members().to_vec();
         members.push(name.clone());
         self.relay.set_members(members);
-        self.step_replica(now_ms, Input::Meet { name: name.clone() });
+        self.step_replica(now_ms, Input::AddPeer { name: name.clone() });
     }
 
     /// Sends a hello to all known control instances when it is due.
--- a/src/control/peer_message.rs
+++ b/src/control/peer_message.rs
@@ -1,7 +1,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Answer, Call, Order, OrderOutcome};
-use crate::consensus::{Message, Stamp};
+use crate::consensus::{Message, Timestamp};
 use crate::model::EntryName;
 
 /// Maximum size of the orders or outcomes in one message. It bounds the delay of a
@@ -67,7 +67,7 @@
         term: u64,
         /// The latest stamp that the sender received from the receiver. It bounds the age
         /// of this message on arrival.
-        heard: Stamp,
+        heard: Timestamp,
         /// The orders, with the ids that the leader assigned.
         orders: Vec<Order>,
     },
--- a/tests/consensus_replica.rs
+++ b/tests/consensus_replica.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use rosemarygauge::consensus::{
     Action, Entry, HardState, Heartbeat, Input, Membership, Message, Record, Recovered, Replica,
-    ReplicaSettings, Reply, ReplyOutcome, Role, Stamp, VoteRequest, VoterChange,
+    ReplicaSettings, Reply, ReplyOutcome, Role, Timestamp, VoteRequest, VoterChange,
 };
 use rosemarygauge::model::EntryName;
 
@@ -65,7 +65,7 @@
     Input::Message { from, message }
 }
 
-fn beat(term: u64, heard: Option<Stamp>, commit_index: u64) -> Heartbeat {
+fn beat(term: u64, heard: Option<Timestamp>, commit_index: u64) -> Heartbeat {
     Heartbeat {
         term,
         sent_ms: 0,
@@ -123,7 +123,7 @@
     Message::Reply(Reply {
         term: 3,
         echo_ms,
-        stamp: Stamp { start: 1, at_ms: 5 },
+        stamp: Timestamp { start: 1, at_ms: 5 },
         incarnation,
         applied_index: 0,
         outcome,
@@ -357,7 +357,7 @@
         panic!("{sent:?}");
     };
     let start = stamp.start ^ 1;
-    let other = Stamp { start, ..stamp };
+    let other = Timestamp { start, ..stamp };
     for (heard, commit_index, fresh) in [(other, 0, false), (stamp, 1, false), (stamp, 0, true)] {
         let message = append(beat(1, Some(heard), commit_index), vec![]);
         feed(&mut replica, now_ms, message_from("a", message));
@@ -468,7 +468,7 @@
     ];
     samples.push(reply(600, Some(INCARNATION), 3));
     samples.push(append(
-        beat(3, Some(Stamp { start: 1, at_ms: 5 }), 1),
+        beat(3, Some(Timestamp { start: 1, at_ms: 5 }), 1),
         entries(3),
     ));
     let mut decoded = 0;
--- a/tests/control/carriers.rs
+++ b/tests/control/carriers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use rosemarygauge::consensus::Stamp;
+use rosemarygauge::consensus::Timestamp;
 use rosemarygauge::control::{Carriers, CarriersPolicy, Event, Order, OrderKind};
 use rosemarygauge::jobs::{JobId, JobState};
 use rosemarygauge::model::{EntryName, InstanceName};
@@ -186,7 +186,7 @@
     }
 }
 
-const STAMP: Stamp = Stamp {
+const STAMP: Timestamp = Timestamp {
     start: 1,
     at_ms: 1_000,
 };
@@ -299,7 +299,7 @@
 #[test]
 fn open_orders_of_a_lost_follower_count_as_unanswered_at_once() {
     let one = name(1);
-    let restarted = Stamp { start: 2, ..STAMP };
+    let restarted = Timestamp { start: 2, ..STAMP };
     for (stamp, age_ms) in [(STAMP, 700), (restarted, 20)] {
         let mut carriers = Carriers::default();
         carriers.update(1_000, &[(&one, STAMP, 20)], 9);
