--- a/src/control/connection_budget.rs
+++ b/src/control/connection_budget.rs
@@ -52,7 +52,7 @@
 
 /// The connection limits and permits of a budget.
 #[derive(Clone, Debug)]
-pub struct BudgetedPlaces {
+pub struct ConnectionPermits {
     /// Limits of unauthenticated connections and outgoing links.
     pub limits: LinkLimits,
     /// Permits for incoming links.
@@ -94,9 +94,9 @@
     }
 
     /// Creates the permits of this budget.
-    pub fn places(&self) -> BudgetedPlaces {
+    pub fn places(&self) -> ConnectionPermits {
         let shared = Arc::new(Semaphore::new(self.shared));
-        BudgetedPlaces {
+        ConnectionPermits {
             limits: LinkLimits {
                 unproved: self.unproved,
                 outgoing: self.outgoing,
--- a/src/control/desk.rs
+++ b/src/control/desk.rs
@@ -15,7 +15,7 @@
 pub struct Desk {
     calls: mpsc::UnboundedSender<Incoming>,
     open: Mutex<OpenCalls>,
-    board: Mutex<Board>,
+    listener_status: Mutex<ListenerStatus>,
     metrics: Metrics,
 }
 
@@ -32,7 +32,7 @@
 
 /// Status that the event loop publishes to the listeners.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct ListenerStatus {
     /// The control instances to which workers should send their reports.
     pub report_places: Vec<EntryName>,
     /// Whether the instance is ready for new callers.
@@ -58,7 +58,7 @@
         let desk = Self {
             calls: tx,
             open: Mutex::new(open),
-            board: Mutex::default(),
+            listener_status: Mutex::default(),
             metrics: Metrics::default(),
         };
         (Arc::new(desk), rx)
@@ -128,13 +128,13 @@
     }
 
     /// Returns the status that the event loop last published.
-    pub fn board(&self) -> Board {
-        lock(&self.board).clone()
+    pub fn listener_status(&self) -> ListenerStatus {
+        lock(&self.listener_status).clone()
     }
 
     /// Publishes a status to the listeners.
-    pub fn show(&self, board: Board) {
-        *lock(&self.board) = board;
+    pub fn show(&self, listener_status: ListenerStatus) {
+        *lock(&self.listener_status) = listener_status;
     }
 }
 
--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -13,7 +13,7 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
 use super::boottime::boottime_ms;
-use super::desk::{Board, Desk, Incoming};
+use super::desk::{Desk, Incoming, ListenerStatus};
 use super::{
     Effect, Event, EventKind, Gateway, GatewayEffect, LoopMeter, Machine, MachineOrder,
     MachineOutcome, Node, Order, OrderOutcome, PeerMessage, WallClock,
@@ -42,27 +42,27 @@
 const STOP_RESERVE_MS: u64 = 700;
 
 /// A boxed future that runs on the process's single thread.
-pub type Local<T> = Pin<Box<dyn Future<Output = T>>>;
+pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// Access to external systems: the workers, the machine manager and the advisor.
-pub trait Outside {
+pub trait ExternalSystems {
     /// Sends an order to a worker. The order counts as sent when this is called, not when
     /// the future is first polled: from then on [`Self::abort_orders`] affects it.
-    fn order(&self, order: Order) -> Local<OrderOutcome>;
+    fn order(&self, order: Order) -> LocalFuture<OrderOutcome>;
     /// Sends an order to the machine manager. It also counts as sent when this is called.
-    fn order_machine(&self, order: MachineOrder) -> Local<MachineOutcome>;
+    fn order_machine(&self, order: MachineOrder) -> LocalFuture<MachineOutcome>;
     /// Aborts every order without an answer, including those that are delayed on the
     /// network.
     fn abort_orders(&self);
     /// Requests the list of all machines from the machine manager.
-    fn list_machines(&self) -> Local<Option<Vec<Machine>>>;
+    fn list_machines(&self) -> LocalFuture<Option<Vec<Machine>>>;
     /// Asks the advisor which workers may run a step.
     fn advise(
         &self,
         step: TaskId,
         workers: Vec<InstanceName>,
         timeout_ms: u64,
-    ) -> Local<Option<Vec<(InstanceName, String)>>>;
+    ) -> LocalFuture<Option<Vec<(InstanceName, String)>>>;
 }
 
 /// The sending side of the links to other instances.
@@ -141,7 +141,7 @@
         mut self,
         mut node: Node,
         disk: Sender<storage::WriteJob>,
-        outside: Rc<dyn Outside>,
+        outside: Rc<dyn ExternalSystems>,
         wall: WallClock,
     ) -> Result<(), StorageError> {
         let (completions, mut outcomes) = unbounded_channel();
@@ -195,7 +195,7 @@
             let leads = node.leads(now_ms);
             let leaderless = Duration::from_millis(node.leaderless_ms(now_ms));
             self.desk.metrics().set_leaderless(leaderless.as_secs_f64());
-            self.desk.show(Board {
+            self.desk.show(ListenerStatus {
                 report_places: node.report_places(now_ms),
                 ready: leads,
             });
@@ -240,7 +240,7 @@
         &self,
         effects: Vec<Effect>,
         disk: &Sender<storage::WriteJob>,
-        outside: &Rc<dyn Outside>,
+        outside: &Rc<dyn ExternalSystems>,
         completions: &UnboundedSender<Event>,
     ) -> bool {
         let mut stopped = false;
@@ -331,7 +331,7 @@
                 }
             }
             let now_ms = boottime_ms();
-            self.desk.show(Board {
+            self.desk.show(ListenerStatus {
                 report_places: Vec::new(),
                 ready: stop_by_ms.is_none() && gateway.is_ready(now_ms),
             });
@@ -345,7 +345,7 @@
 
 fn spawn_with_event<T: 'static>(
     completions: &UnboundedSender<Event>,
-    work: Local<T>,
+    work: LocalFuture<T>,
     event: impl FnOnce(T) -> Event + 'static,
 ) {
     let completions = completions.clone();
--- a/src/platform/control_calls.rs
+++ b/src/platform/control_calls.rs
@@ -78,7 +78,7 @@
     /// Names where later reports go: the same place for one worker, as long as it is
     /// there, so that reports do not overtake each other.
     fn report_taken(&self, worker: &InstanceName) -> Reply {
-        let places = self.desk.board().report_places;
+        let places = self.desk.listener_status().report_places;
         let hash = crc32fast::hash(worker.as_str().as_bytes()) as usize;
         let place = places.get(hash % places.len().max(1));
         match place.and_then(|name| self.settings.control_address(name)) {
--- a/src/platform/outside.rs
+++ b/src/platform/outside.rs
@@ -4,7 +4,8 @@
 
 use super::{Client, Settings, advisor, machines, workers};
 use crate::control::{
-    ELECTION_TIMEOUT_MS, Local, Machine, MachineOrder, MachineOutcome, Order, OrderOutcome, Outside,
+    ELECTION_TIMEOUT_MS, ExternalSystems, LocalFuture, Machine, MachineOrder, MachineOutcome,
+    Order, OrderOutcome,
 };
 use crate::jobs::TaskId;
 use crate::model::InstanceName;
@@ -49,12 +50,12 @@
     }
 }
 
-impl Outside for Platform {
-    fn order(&self, order: Order) -> Local<OrderOutcome> {
+impl ExternalSystems for Platform {
+    fn order(&self, order: Order) -> LocalFuture<OrderOutcome> {
         Box::pin(workers::order(&self.workers, order))
     }
 
-    fn order_machine(&self, order: MachineOrder) -> Local<MachineOutcome> {
+    fn order_machine(&self, order: MachineOrder) -> LocalFuture<MachineOutcome> {
         match self.keeper {
             Some(keeper) => {
                 let holder = &self.holder;
@@ -69,7 +70,7 @@
         self.services.abort();
     }
 
-    fn list_machines(&self) -> Local<Option<Vec<Machine>>> {
+    fn list_machines(&self) -> LocalFuture<Option<Vec<Machine>>> {
         let client = Rc::clone(&self.services);
         let keeper = self.keeper;
         Box::pin(async move { machines::list(&client, keeper?).await })
@@ -80,7 +81,7 @@
         step: TaskId,
         workers: Vec<InstanceName>,
         timeout_ms: u64,
-    ) -> Local<Option<Vec<(InstanceName, String)>>> {
+    ) -> LocalFuture<Option<Vec<(InstanceName, String)>>> {
         let client = Rc::clone(&self.services);
         let advisor = self.advisor;
         Box::pin(async move {
--- a/src/platform/serve.rs
+++ b/src/platform/serve.rs
@@ -15,8 +15,8 @@
 use super::settings_fault::list;
 use super::{CaughtSignals, ControlCalls, EntryCalls, Platform, Settings, SettingsFault};
 use crate::control::{
-    self, BudgetedPlaces, ConnectionBudget, Desk, Driver, Gateway, Node, NodeSettings, PeerMessage,
-    Policy, PolicyFault, Signal, WallClock, boottime_ms,
+    self, ConnectionBudget, ConnectionPermits, Desk, Driver, Gateway, Node, NodeSettings,
+    PeerMessage, Policy, PolicyFault, Signal, WallClock, boottime_ms,
 };
 use crate::http::{Handler, HttpServer, Limits, text};
 use crate::link::{Directory, LinkError, Links, LinksConfig, PeerClass, PeerKey};
@@ -219,7 +219,7 @@
 
 fn health(desk: Arc<Desk>) -> Handler {
     Arc::new(move |_| {
-        let ready = desk.board().ready;
+        let ready = desk.listener_status().ready;
         Box::pin(async move {
             match ready {
                 true => text(StatusCode::OK, "ready\n"),
@@ -252,7 +252,7 @@
 fn start_links(
     settings: &Settings,
     class: PeerClass,
-    places: &BudgetedPlaces,
+    places: &ConnectionPermits,
     signals: UnboundedSender<Signal>,
 ) -> Result<PeerLinks, ServeError> {
     let conf = LinksConfig {
--- a/tests/control/driver.rs
+++ b/tests/control/driver.rs
@@ -6,8 +6,8 @@
 
 use rosemarygauge::consensus::Recovered;
 use rosemarygauge::control::{
-    Desk, Driver, Links, Local, Machine, MachineOrder, MachineOutcome, Node, NodeSettings, Order,
-    OrderOutcome, Outside, PeerMessage, Policy, Signal, WallClock, boottime_ms,
+    Desk, Driver, ExternalSystems, Links, LocalFuture, Machine, MachineOrder, MachineOutcome, Node,
+    NodeSettings, Order, OrderOutcome, PeerMessage, Policy, Signal, WallClock, boottime_ms,
 };
 use rosemarygauge::jobs::TaskId;
 use rosemarygauge::model::{EntryName, InstanceName};
@@ -32,18 +32,18 @@
 /// External systems that are all unreachable.
 struct UnreachableSystems;
 
-impl Outside for UnreachableSystems {
-    fn order(&self, _order: Order) -> Local<OrderOutcome> {
+impl ExternalSystems for UnreachableSystems {
+    fn order(&self, _order: Order) -> LocalFuture<OrderOutcome> {
         Box::pin(async { OrderOutcome::Unanswered })
     }
 
-    fn order_machine(&self, _order: MachineOrder) -> Local<MachineOutcome> {
+    fn order_machine(&self, _order: MachineOrder) -> LocalFuture<MachineOutcome> {
         Box::pin(async { MachineOutcome::Overloaded })
     }
 
     fn abort_orders(&self) {}
 
-    fn list_machines(&self) -> Local<Option<Vec<Machine>>> {
+    fn list_machines(&self) -> LocalFuture<Option<Vec<Machine>>> {
         Box::pin(async { None })
     }
 
@@ -52,7 +52,7 @@
         _step: TaskId,
         _workers: Vec<InstanceName>,
         _timeout_ms: u64,
-    ) -> Local<Option<Vec<(InstanceName, String)>>> {
+    ) -> LocalFuture<Option<Vec<(InstanceName, String)>>> {
         Box::pin(async { None })
     }
 }
--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -10,7 +10,7 @@
 use http::Request;
 use http_body_util::Full;
 use rosemarygauge::control::{
-    MachineOrder, MachineOrderKind, MachineOutcome, Order, OrderKind, OrderOutcome, Outside,
+    ExternalSystems, MachineOrder, MachineOrderKind, MachineOutcome, Order, OrderKind, OrderOutcome,
 };
 use rosemarygauge::jobs::{JobId, TaskId};
 use rosemarygauge::places::Places;
