--- a/src/control/capacity.rs
+++ b/src/control/capacity.rs
@@ -35,7 +35,7 @@
 
 /// The inputs of [`Capacity::tick`].
 #[derive(Clone, Copy, Debug)]
-pub struct CapacityWorld<'a> {
+pub struct CapacityInput<'a> {
     /// The replicated state.
     pub state: &'a State,
     /// The workers and the work of each pool.
@@ -115,7 +115,7 @@
     }
 
     /// Returns the moves to order now.
-    pub fn tick(&mut self, now_ms: u64, world: &CapacityWorld) -> Vec<Move> {
+    pub fn tick(&mut self, now_ms: u64, world: &CapacityInput) -> Vec<Move> {
         let Some(configuration) = world.state.configuration() else {
             return Vec::new();
         };
@@ -145,7 +145,7 @@
         moves
     }
 
-    fn balance(&mut self, now_ms: u64, pool: &PoolName, world: &CapacityWorld) -> Balance {
+    fn balance(&mut self, now_ms: u64, pool: &PoolName, world: &CapacityInput) -> Balance {
         let none = PoolDemand::default();
         let demand = world.demand.get(pool).unwrap_or(&none);
         let size = demand.size().unwrap_or_else(|| average_size(world.demand));
@@ -170,7 +170,7 @@
     }
 
     /// Logs the balance of each pool, so that late jobs can be explained afterwards.
-    fn log_balances(&mut self, now_ms: u64, pools: &[Balance], world: &CapacityWorld) {
+    fn log_balances(&mut self, now_ms: u64, pools: &[Balance], world: &CapacityInput) {
         if now_ms < self.logged_ms + LOG_INTERVAL_MS {
             return;
         }
@@ -199,7 +199,7 @@
         &mut self,
         now_ms: u64,
         pools: &mut [Balance],
-        world: &CapacityWorld,
+        world: &CapacityInput,
         moves: &mut Vec<Move>,
     ) {
         let mut spare: Vec<Vec<&WorkerUse>> = pools
@@ -262,7 +262,7 @@
     fn move_from_standby(
         &mut self,
         now_ms: u64,
-        world: &CapacityWorld,
+        world: &CapacityInput,
         to: &PoolName,
         moves: &mut Vec<Move>,
     ) -> bool {
@@ -284,7 +284,7 @@
         &mut self,
         now_ms: u64,
         pools: &[Balance],
-        world: &CapacityWorld,
+        world: &CapacityInput,
         standby: &PoolName,
         moves: &mut Vec<Move>,
     ) {
@@ -309,7 +309,7 @@
         &self,
         now_ms: u64,
         pool: &PoolName,
-        world: &CapacityWorld<'a>,
+        world: &CapacityInput<'a>,
         due: bool,
     ) -> Vec<&'a WorkerUse> {
         let is_kept = |machine: &String| {
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -70,7 +70,7 @@
 pub use arrivals::{Arrivals, JobSize};
 pub use boottime::boottime_ms;
 pub use call::{Call, Place};
-pub use capacity::{Capacity, CapacityWorld, Move};
+pub use capacity::{Capacity, CapacityInput, Move};
 pub use carrier::Carrier;
 pub use carriers::Carriers;
 pub use change::{Change, Command};
@@ -99,7 +99,7 @@
 pub use node::{ELECTION_TIMEOUT_MS, Node, NodeSettings};
 pub use order::{Ended, Order, OrderKind, OrderOutcome, Rejection, Running};
 pub use peer_message::PeerMessage;
-pub use placement::{Placement, Scheduler, SchedulerWorld};
+pub use placement::{Placement, Scheduler, SchedulerInput};
 pub use policy::{
     CarriersPolicy, MovesPolicy, NeedsPolicy, OrderPolicy, PlacementPolicy, Policy, RunsPolicy,
     StandbyPolicy, TurnsPolicy, UpkeepPolicy,
@@ -117,7 +117,7 @@
 pub use state::State;
 pub use throttle::Throttle;
 pub use timing::Timing;
-pub use upkeep::{Upkeep, UpkeepStep, UpkeepWorld};
+pub use upkeep::{Upkeep, UpkeepInput, UpkeepStep};
 pub use wall_clock::WallClock;
 pub use wave::Wave;
 pub use worker::Worker;
--- a/src/control/node/machines.rs
+++ b/src/control/node/machines.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::super::{
-    CapacityWorld, Change, Decision, Effect, Machine, MachineOrder, MachineOrderKind,
-    MachineOutcome, Upkeep, UpkeepStep, UpkeepWorld, demand,
+    CapacityInput, Change, Decision, Effect, Machine, MachineOrder, MachineOrderKind,
+    MachineOutcome, Upkeep, UpkeepInput, UpkeepStep, demand,
 };
 use super::Node;
 use super::leader_state::Waiter;
@@ -54,7 +54,7 @@
         };
         let off = lead.capacity.standby_machines().cloned().collect();
         let busy = lead.scheduler.proposed.values().map(|p| p.worker.clone());
-        let world = UpkeepWorld {
+        let world = UpkeepInput {
             state: &self.state,
             fleet: &lead.fleet,
             off: &off,
@@ -153,7 +153,7 @@
         let mut busy: BTreeSet<InstanceName> = lead.upkeep.closed_workers().cloned().collect();
         busy.extend(lead.workers_ending.iter().cloned());
         busy.extend(lead.scheduler.proposed.values().map(|p| p.worker.clone()));
-        let world = CapacityWorld {
+        let world = CapacityInput {
             state: &self.state,
             demand: &demand,
             offers: &offers,
--- a/src/control/node/pass.rs
+++ b/src/control/node/pass.rs
@@ -1,6 +1,6 @@
 //! The scheduling pass: the leader's periodic look at changed jobs and waiting steps.
 
-use super::super::{Change, RunPhase, RunView, SchedulerWorld, State, Upkeep};
+use super::super::{Change, RunPhase, RunView, SchedulerInput, State, Upkeep};
 use super::Node;
 use super::leader_state::{LeaderState, Waiter};
 use crate::jobs::JobId;
@@ -30,7 +30,7 @@
         }
         lead.last_pass_ms = now_ms;
         let unix_ms = self.clock.unix_ms(now_ms);
-        let world = SchedulerWorld {
+        let world = SchedulerInput {
             state: &self.state,
             fleet: &lead.fleet,
             estimates: match self.settings.policy.order.learn {
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -38,7 +38,7 @@
 
 /// The input of a scheduling pass.
 #[derive(Clone, Copy, Debug)]
-pub struct SchedulerWorld<'a> {
+pub struct SchedulerInput<'a> {
     /// The replicated state.
     pub state: &'a State,
     /// The leader's links to workers.
@@ -95,7 +95,7 @@
     }
 
     /// Updates the ranks of changed jobs; returns the jobs that were visited.
-    pub fn refresh(&mut self, now_unix_ms: u64, world: &SchedulerWorld) -> BTreeSet<JobId> {
+    pub fn refresh(&mut self, now_unix_ms: u64, world: &SchedulerInput) -> BTreeSet<JobId> {
         let world = BacklogWorld {
             state: world.state,
             estimates: world.estimates,
@@ -113,7 +113,7 @@
     pub fn pass(
         &mut self,
         now_ms: u64,
-        world: &SchedulerWorld,
+        world: &SchedulerInput,
         starts_max: usize,
     ) -> Vec<Placement> {
         self.missing_advice.clear();
@@ -149,7 +149,7 @@
     fn place_round_robin(
         &mut self,
         now_ms: u64,
-        world: &SchedulerWorld,
+        world: &SchedulerInput,
         pools: &mut [PoolPass],
         starts_max: usize,
     ) -> Vec<Placement> {
@@ -178,7 +178,7 @@
     fn place_next(
         &mut self,
         now_ms: u64,
-        world: &SchedulerWorld,
+        world: &SchedulerInput,
         queues: &BTreeMap<&str, &Queue>,
         pass: &mut PoolPass,
         starts_left: usize,
@@ -222,7 +222,7 @@
     fn candidates<'a>(
         &self,
         now_ms: u64,
-        world: &SchedulerWorld<'a>,
+        world: &SchedulerInput<'a>,
         backlog: &Backlog,
     ) -> BTreeMap<&'a PoolName, (Vec<Candidate<'a>>, SizeShares)> {
         let (state, fleet) = (world.state, world.fleet);
--- a/src/control/upkeep.rs
+++ b/src/control/upkeep.rs
@@ -44,7 +44,7 @@
 
 /// The inputs of [`Upkeep::tick`].
 #[derive(Clone, Copy, Debug)]
-pub struct UpkeepWorld<'a> {
+pub struct UpkeepInput<'a> {
     /// The replicated state.
     pub state: &'a State,
     /// The leader's links to workers.
@@ -208,7 +208,7 @@
     }
 
     /// Returns the actions to take now.
-    pub fn tick(&mut self, now_ms: u64, now_unix_ms: u64, world: &UpkeepWorld) -> Vec<UpkeepStep> {
+    pub fn tick(&mut self, now_ms: u64, now_unix_ms: u64, world: &UpkeepInput) -> Vec<UpkeepStep> {
         let (state, timing) = (world.state, world.timing);
         let known = Self::machines(state);
         let return_ms = timing.upkeep_ms + RETURN_GRACE_MS;
@@ -240,7 +240,7 @@
     /// Returns how many more machines to start draining now. The number at a time follows
     /// from the time that is left, so that the pools lose as few machines as possible at any
     /// moment.
-    fn free_slots(&self, now_unix_ms: u64, wave: &Wave, world: &UpkeepWorld) -> usize {
+    fn free_slots(&self, now_unix_ms: u64, wave: &Wave, world: &UpkeepInput) -> usize {
         let (timing, policy) = (world.timing, world.policy);
         let draining = self
             .draining
@@ -275,7 +275,7 @@
         free_slots: usize,
         known: &BTreeMap<&String, &InstanceName>,
         budget: &DisruptionBudget,
-        world: &UpkeepWorld,
+        world: &UpkeepInput,
     ) {
         if free_slots == 0 {
             return;
@@ -330,7 +330,7 @@
         &mut self,
         now_ms: u64,
         wave: &Wave,
-        world: &UpkeepWorld,
+        world: &UpkeepInput,
         budget: &mut DisruptionBudget,
         steps: &mut Vec<UpkeepStep>,
     ) {
--- a/tests/control/pool.rs
+++ b/tests/control/pool.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use rosemarygauge::control::{
-    Change, Command, Estimates, Fleet, Placement, Policy, Scheduler, SchedulerWorld, Sizes, State,
+    Change, Command, Estimates, Fleet, Placement, Policy, Scheduler, SchedulerInput, Sizes, State,
     WorkerLink,
 };
 use rosemarygauge::jobs::{JobId, JobSpec};
@@ -75,7 +75,7 @@
     }
 
     pub fn refresh(&mut self) {
-        let world = SchedulerWorld {
+        let world = SchedulerInput {
             state: &self.state,
             fleet: &self.fleet,
             estimates: &Estimates::default(),
@@ -86,7 +86,7 @@
 
     pub fn pass(&mut self) -> Vec<Placement> {
         self.refresh();
-        let world = SchedulerWorld {
+        let world = SchedulerInput {
             state: &self.state,
             fleet: &self.fleet,
             estimates: &Estimates::default(),
--- a/tests/control/scheduler.rs
+++ b/tests/control/scheduler.rs
@@ -4,7 +4,7 @@
 
 use rosemarygauge::control::{
     Advice, Change, Estimates, OrderPolicy, Placement, Policy, Remaining, Scheduler,
-    SchedulerWorld, State, rank_job,
+    SchedulerInput, State, rank_job,
 };
 use rosemarygauge::jobs::{JobId, Step};
 
@@ -254,7 +254,7 @@
     assert_eq!(workers_of(&starts), ["i-1"]);
     let later = NOW_MS + 10_000;
     pool.accept(2, job(vec![step(4)]));
-    let world = SchedulerWorld {
+    let world = SchedulerInput {
         state: &pool.state,
         fleet: &pool.fleet,
         estimates: &Estimates::default(),
