--- a/examples/table_check.rs
+++ b/examples/table_check.rs
@@ -8,7 +8,8 @@
 
 use rosemarygauge::maintenance::FleetCommand;
 use rosemarygauge::model::{
-    Budget, Capacity, Class, Demand, Pool, Row, RowKey, Service, ServiceName, Survive, ZoneName,
+    Budget, Capacity, Class, Demand, FailureDomain, Pool, Row, RowKey, Service, ServiceName,
+    ZoneName,
 };
 use rosemarygauge::state::{Change, Command, CommandId, Reply, RowChange, State};
 
@@ -135,7 +136,7 @@
         name: format!("p{n}").into(),
         budget: Budget {
             min_available: 4,
-            survive: Survive::None,
+            survive: FailureDomain::None,
         },
         services: vec![Service {
             name: service(n),
--- a/src/cmd/measure_capacity/fleet.rs
+++ b/src/cmd/measure_capacity/fleet.rs
@@ -1,8 +1,9 @@
 use crate::load::View;
 use crate::maintenance::FleetCommand;
 use crate::model::{
-    Budget, Capacity, ChangeId, Class, Demand, EntryName, InstanceName, Pool, PoolName, RackName,
-    RequestKey, Row, RowKey, Service, Standing, Survive, TeamName, UpstreamReport, ZoneName,
+    Budget, Capacity, ChangeId, Class, Demand, EntryName, FailureDomain, InstanceName, Pool,
+    PoolName, RackName, RequestKey, Row, RowKey, Service, TeamName, UpstreamReport, UpstreamState,
+    ZoneName,
 };
 use crate::state::{Change, Command, CommandId, Fingerprint, NewJob, Reply, RowChange, State};
 
@@ -73,7 +74,7 @@
             name: pool(i),
             budget: Budget {
                 min_available: 0,
-                survive: Survive::None,
+                survive: FailureDomain::None,
             },
             services: ["check", "score", "store"].map(service).to_vec(),
         };
@@ -199,7 +200,7 @@
             connections: 64,
         },
         pool_epoch: 1,
-        standing: Standing::Serving,
+        standing: UpstreamState::Serving,
         running: 4,
         usage_age_ms: 12,
     }
--- a/src/cmd/measure_load.rs
+++ b/src/cmd/measure_load.rs
@@ -13,7 +13,7 @@
 use crate::load::plays::{self, Figures, Played};
 use crate::load::scenarios::{Kind, ZONE, side};
 use crate::load::{Action, AttemptId, Input, Request, RequestId, View, fleets};
-use crate::model::{Class, Row, RowKey, Standing, UpstreamReport};
+use crate::model::{Class, Row, RowKey, UpstreamReport, UpstreamState};
 
 /// Workers in the plays beyond capacity, where the naive queue is slow.
 const FEW: usize = 2;
@@ -213,7 +213,7 @@
             pool: worker.pool.clone(),
             capacity: worker.capacity,
             pool_epoch: 1,
-            standing: Standing::Serving,
+            standing: UpstreamState::Serving,
             running: 0,
             usage_age_ms: 0,
         };
--- a/src/cmd/measure_waves.rs
+++ b/src/cmd/measure_waves.rs
@@ -12,7 +12,7 @@
 use crate::maintenance::{
     Fleet, FleetCommand, Selection, WaveKind, WaveSpec, WaveState, WaveWeights, plan,
 };
-use crate::model::{Budget, Instance, InstanceName, Pool, Survive, WaveName};
+use crate::model::{Budget, FailureDomain, Instance, InstanceName, Pool, WaveName};
 
 mod world;
 
@@ -192,12 +192,12 @@
 
 /// A fleet of `instances` in `pools` of growing size, each rack of four spread
 /// over four pools; budgets keep all but three, the failure to come included.
-pub fn fleet(instances: u32, pools: u32, survive: Survive) -> Fleet {
+pub fn fleet(instances: u32, pools: u32, survive: FailureDomain) -> Fleet {
     let mut fleet = Fleet::default();
     let mut left = sizes(instances, pools);
     let sizes = left.clone();
     for pool in 0..pools {
-        put_pool(&mut fleet, pool, 0, Survive::None);
+        put_pool(&mut fleet, pool, 0, FailureDomain::None);
     }
     let mut in_rack: Vec<usize> = Vec::new();
     for i in 0..instances {
@@ -253,10 +253,10 @@
     }
 }
 
-fn survive(deployment: Deployment) -> Survive {
+fn survive(deployment: Deployment) -> FailureDomain {
     match deployment {
-        Deployment::Grants => Survive::Instance,
-        Deployment::Tunnels => Survive::Rack,
+        Deployment::Grants => FailureDomain::Instance,
+        Deployment::Tunnels => FailureDomain::Rack,
     }
 }
 
@@ -283,7 +283,7 @@
     format!("pool-{pool:02}")
 }
 
-fn put_pool(fleet: &mut Fleet, pool: u32, min_available: u32, survive: Survive) {
+fn put_pool(fleet: &mut Fleet, pool: u32, min_available: u32, survive: FailureDomain) {
     let pool = Pool {
         name: pool_name(pool).into(),
         budget: Budget {
@@ -363,7 +363,7 @@
 
 /// The planner's time on a fleet of `instances` in `pools`.
 pub fn time_planner(instances: u32, pools: u32) -> String {
-    let fleet = fleet(instances, pools, Survive::Rack);
+    let fleet = fleet(instances, pools, FailureDomain::Rack);
     let spec = spec(Deployment::Grants);
     let start = Instant::now();
     let plan = plan(&fleet, &spec);
@@ -385,7 +385,7 @@
 pub fn time_controller(instances: u32, pools: u32) -> String {
     const STEPS: u32 = 120;
     const CHANGES: u32 = 10_000;
-    let mut world = World::new(fleet(instances, pools, Survive::Rack), 1);
+    let mut world = World::new(fleet(instances, pools, FailureDomain::Rack), 1);
     let spec = spec(Deployment::Grants);
     let _started = world.apply(&FleetCommand::StartWave { spec });
     for _ in 0..STEPS {
--- a/src/cmd/measure_waves/world.rs
+++ b/src/cmd/measure_waves/world.rs
@@ -12,7 +12,9 @@
     Controller, ControllerAction, ControllerSettings, EntryAck, Fleet, FleetCommand, FleetRefusal,
     InstanceSeen, Observed, PlatformOrder,
 };
-use crate::model::{Capacity, Duty, EntryName, Instance, InstanceName, Standing, UpstreamReport};
+use crate::model::{
+    Capacity, DesiredState, EntryName, Instance, InstanceName, UpstreamReport, UpstreamState,
+};
 
 /// Time between two steps, and between two reports of a machine.
 pub const STEP_MS: u64 = 1_000;
@@ -278,7 +280,7 @@
                 continue;
             }
             let report = machine.report(instance, self.now_ms);
-            if report.standing == Standing::Serving {
+            if report.standing == UpstreamState::Serving {
                 let until_ms = self.now_ms + lease_ms;
                 let epoch = report.pool_epoch;
                 self.permits
@@ -387,9 +389,9 @@
             capacity: CAPACITY,
             pool_epoch: self.epoch,
             standing: match self.state {
-                MachineState::Draining { .. } => Standing::Draining,
-                MachineState::Leaving { .. } => Standing::Leaving,
-                _ => Standing::Serving,
+                MachineState::Draining { .. } => UpstreamState::Draining,
+                MachineState::Leaving { .. } => UpstreamState::Leaving,
+                _ => UpstreamState::Serving,
             },
             running,
             usage_age_ms: 0,
@@ -400,7 +402,7 @@
     fn hear_reply(&mut self, instance: &Instance) {
         self.epoch = instance.epoch;
         let leaves = matches!(self.state, MachineState::Leaving { .. });
-        if instance.duty == Duty::Serving && !leaves {
+        if instance.duty == DesiredState::Serving && !leaves {
             self.state = MachineState::Serving;
         }
     }
--- a/src/entry/node/jobs.rs
+++ b/src/entry/node/jobs.rs
@@ -1,7 +1,7 @@
 //! Patient jobs that this entry instance was given, and what is asked of jobs.
 
 use crate::load::RequestId;
-use crate::model::{Class, Duty, Outcome, RefusalReason};
+use crate::model::{Class, DesiredState, Outcome, RefusalReason};
 use crate::state::{Change, Fence, Job, JobId, JobPhase, JobReply, MAX_JOB_PART_BYTES, Reply};
 
 use super::super::open::{Open, Origin};
@@ -115,7 +115,7 @@
     pub(super) fn ask_for_checkpoints(&mut self, out: &mut Vec<Effect>) {
         for (of, instance) in &self.attempts_on {
             let stays = self.state.fleet().instances().get(instance);
-            let drains = stays.is_some_and(|i| i.duty != Duty::Serving);
+            let drains = stays.is_some_and(|i| i.duty != DesiredState::Serving);
             let open = self.requests.get(&of.0);
             let movable =
                 open.is_some_and(|o| o.idempotent && matches!(o.origin, Origin::Job { .. }));
--- a/src/entry/node/upstreams.rs
+++ b/src/entry/node/upstreams.rs
@@ -2,7 +2,7 @@
 
 use crate::load::Input;
 use crate::maintenance::FleetCommand;
-use crate::model::{Absence, Duty, Instance, Standing, UpstreamReport};
+use crate::model::{Absence, DesiredState, Instance, UpstreamReport, UpstreamState};
 use crate::state::Change;
 use crate::upstream_api::{AnnounceReply, Order};
 
@@ -54,7 +54,7 @@
         known: bool,
         out: &mut Vec<Effect>,
     ) {
-        if report.standing != Standing::Serving || self.is_introducing(now_ms, report) {
+        if report.standing != UpstreamState::Serving || self.is_introducing(now_ms, report) {
             return;
         }
         if !known {
@@ -130,9 +130,9 @@
 /// entry instance gives the same order.
 fn order_for(instance: &Instance) -> Order {
     match &instance.duty {
-        Duty::Serving => Order::Serve,
-        Duty::Draining { .. } => Order::Drain,
-        Duty::Away { absence } => match absence {
+        DesiredState::Serving => Order::Serve,
+        DesiredState::Draining { .. } => Order::Drain,
+        DesiredState::Away { absence } => match absence {
             Absence::Reboot { .. } | Absence::Repair => Order::Reboot,
             Absence::Replace { .. } => Order::Replace,
             Absence::Operator | Absence::Move { .. } | Absence::SetAside { .. } => Order::Drain,
--- a/src/load/fleets.rs
+++ b/src/load/fleets.rs
@@ -1,7 +1,7 @@
 //! Fleets for the bench: one pool or more in one availability zone or more.
 
 use crate::model::{
-    Budget, Capacity, Class, Demand, Duty, Instance, Pool, Service, Survive, ZoneName,
+    Budget, Capacity, Class, Demand, DesiredState, FailureDomain, Instance, Pool, Service, ZoneName,
 };
 
 use super::View;
@@ -48,7 +48,7 @@
         name: name.into(),
         budget: Budget {
             min_available: 0,
-            survive: Survive::None,
+            survive: FailureDomain::None,
         },
         services,
     };
@@ -71,7 +71,7 @@
             rack: worker.rack.clone(),
             pool: worker.pool.clone(),
             epoch: 1,
-            duty: Duty::Serving,
+            duty: DesiredState::Serving,
         };
         view.instances.insert(worker.name.clone(), instance);
         workers.push(worker);
--- a/src/load/harness/host.rs
+++ b/src/load/harness/host.rs
@@ -4,7 +4,7 @@
 use super::super::{AttemptId, AttemptRefusal, Input, RequestId};
 use super::event::{Attempt, AttemptResult, Event};
 use super::{Behaviour, Ending, Harness, Worker};
-use crate::model::{Duty, InstanceName, Standing, UpstreamReport};
+use crate::model::{DesiredState, InstanceName, UpstreamReport, UpstreamState};
 
 /// Time between two reports of a worker, in milliseconds.
 const REPORT_MS: u64 = 1_000;
@@ -68,7 +68,7 @@
             self.faults
                 .push(format!("{id}: sent to {name} of another pool"));
         }
-        if instance.is_none_or(|i| i.duty != Duty::Serving) {
+        if instance.is_none_or(|i| i.duty != DesiredState::Serving) {
             self.faults
                 .push(format!("{id}: sent to {name}, not serving"));
         }
@@ -149,7 +149,7 @@
             pool: worker.pool.clone(),
             capacity: worker.capacity,
             pool_epoch: 1,
-            standing: Standing::Serving,
+            standing: UpstreamState::Serving,
             running: host.running,
             usage_age_ms: 0,
         };
--- a/src/load/membership.rs
+++ b/src/load/membership.rs
@@ -5,7 +5,7 @@
 //! at 21,000 upstreams placing all of them at each row would hold up every
 //! request for tens of milliseconds.
 
-use crate::model::{Demand, Duty, PoolName};
+use crate::model::{Demand, DesiredState, PoolName};
 
 use super::View;
 use super::ready::ReadySet;
@@ -104,12 +104,12 @@
         &mut self,
         now_ms: u64,
         at: usize,
-        now: Option<(&PoolName, u64, &Duty)>,
+        now: Option<(&PoolName, u64, &DesiredState)>,
         anew: bool,
     ) {
         let pool = now.and_then(|(pool, ..)| self.pool_names.get(pool).copied());
         let epoch = now.map_or(0, |(_, epoch, _)| epoch);
-        let serves = now.is_some_and(|(.., duty)| *duty == Duty::Serving);
+        let serves = now.is_some_and(|(.., duty)| *duty == DesiredState::Serving);
         let up = &self.list[at];
         if !anew && (up.pool, up.epoch, up.serves) == (pool, epoch, serves) {
             return;
--- a/src/load/naive.rs
+++ b/src/load/naive.rs
@@ -4,7 +4,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::model::{Duty, InstanceName, RefusalReason, Standing, UpstreamReport, ZoneName};
+use crate::model::{
+    DesiredState, InstanceName, RefusalReason, UpstreamReport, UpstreamState, ZoneName,
+};
 
 use super::{Action, AttemptId, Input, Request, RequestId, View};
 
@@ -165,11 +167,11 @@
             .iter()
             .filter(|(name, up)| {
                 up.lease_until_ms > now_ms
-                    && up.report.standing == Standing::Serving
+                    && up.report.standing == UpstreamState::Serving
                     && up.in_flight < up.report.capacity.slots
                     && (self.fresh || self.home.as_ref() == Some(&up.report.zone))
                     && self.view.instances.get(*name).is_some_and(|instance| {
-                        instance.pool == *pool && instance.duty == Duty::Serving
+                        instance.pool == *pool && instance.duty == DesiredState::Serving
                     })
             })
             .min_by_key(|(_, up)| up.in_flight)
--- a/src/load/upstream.rs
+++ b/src/load/upstream.rs
@@ -1,6 +1,8 @@
 use std::collections::BTreeMap;
 
-use crate::model::{Capacity, Demand, EntryName, InstanceName, RackName, Standing, UpstreamReport};
+use crate::model::{
+    Capacity, Demand, EntryName, InstanceName, RackName, UpstreamReport, UpstreamState,
+};
 
 use super::health::Record;
 use super::limit::Limit;
@@ -47,7 +49,7 @@
     incarnation: u64,
     sequence: u64,
     capacity: Capacity,
-    standing: Standing,
+    standing: UpstreamState,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -196,7 +198,9 @@
         self.serves
             && self.pool.is_some()
             && self.lease_until_ms > now_ms
-            && self.report.is_some_and(|r| r.standing == Standing::Serving)
+            && self
+                .report
+                .is_some_and(|r| r.standing == UpstreamState::Serving)
     }
 
     /// Requests of ours it may hold now.
--- a/src/maintenance/bounds.rs
+++ b/src/maintenance/bounds.rs
@@ -1,6 +1,6 @@
 //! Lower bounds that no schedule of a wave can beat, whatever it knows.
 
-use crate::model::{Budget, RackName, Survive};
+use crate::model::{Budget, FailureDomain, RackName};
 
 use super::Room;
 
@@ -38,7 +38,7 @@
         let all = self.takes_ms(None);
         let width = self.room.width_bound(&self.budget) + lent;
         let mut bound_ms = visits_bound_ms(all, width)?;
-        if self.budget.survive == Survive::Rack {
+        if self.budget.survive == FailureDomain::Rack {
             let (size, racks) = self.room.worst_racks();
             let serving = self.room.serving() + lent;
             let width = serving.saturating_sub(self.budget.min_available + size);
@@ -59,8 +59,8 @@
     /// Instances that could be out at once if moves spread them ideally.
     fn ideal_width(&self) -> u32 {
         let reserve = match self.budget.survive {
-            Survive::None => 0,
-            Survive::Instance | Survive::Rack => 1,
+            FailureDomain::None => 0,
+            FailureDomain::Instance | FailureDomain::Rack => 1,
         };
         let serving = self.room.serving();
         serving.saturating_sub(self.budget.min_available + reserve)
--- a/src/maintenance/budget_use.rs
+++ b/src/maintenance/budget_use.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::model::{PoolName, Survive};
+use crate::model::{FailureDomain, PoolName};
 
 use super::Cause;
 
@@ -19,7 +19,7 @@
     /// Those that do not, each under one cause.
     pub absent: BTreeMap<Cause, u32>,
     /// The failure domain still to come.
-    pub survive: Survive,
+    pub survive: FailureDomain,
     /// What would be lost with it.
     pub worst_loss: u32,
     /// Instances that must be available.
@@ -52,7 +52,7 @@
         if !self.absent.is_empty() {
             write!(f, ")")?;
         }
-        if self.survive != Survive::None {
+        if self.survive != FailureDomain::None {
             let (loss, domain) = (self.worst_loss, self.survive);
             write!(f, ", less {loss} for the worst {domain} still to come")?;
         }
--- a/src/maintenance/cause.rs
+++ b/src/maintenance/cause.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-use crate::model::{Absence, Duty, Instance};
+use crate::model::{Absence, DesiredState, Instance};
 
 /// Why an instance does not serve, for the budget's arithmetic.
 #[derive(
@@ -47,8 +47,10 @@
     /// it drains is not counted twice.
     pub fn of(instance: &Instance, failed: bool) -> Option<Self> {
         match &instance.duty {
-            Duty::Serving => failed.then_some(Self::Failed),
-            Duty::Draining { absence } | Duty::Away { absence } => Some(Self::of_absence(absence)),
+            DesiredState::Serving => failed.then_some(Self::Failed),
+            DesiredState::Draining { absence } | DesiredState::Away { absence } => {
+                Some(Self::of_absence(absence))
+            }
         }
     }
 
--- a/src/maintenance/controller/absences.rs
+++ b/src/maintenance/controller/absences.rs
@@ -1,7 +1,7 @@
 //! Drains that wait for their proof, moves that finish or are undone, and
 //! instances away that come back or do not.
 
-use crate::model::{Absence, Duty, Instance, InstanceName, PoolName, Standing};
+use crate::model::{Absence, DesiredState, Instance, InstanceName, PoolName, UpstreamState};
 
 use super::super::{FleetCommand, PlatformOrder, StopProof};
 use super::repairs::is_leaving;
@@ -21,9 +21,9 @@
                 continue;
             };
             match &instance.duty {
-                Duty::Serving => {}
-                Duty::Draining { absence } => self.follow_drain(step, instance, absence),
-                Duty::Away { absence } => self.follow_away(step, instance, absence),
+                DesiredState::Serving => {}
+                DesiredState::Draining { absence } => self.follow_drain(step, instance, absence),
+                DesiredState::Away { absence } => self.follow_away(step, instance, absence),
             }
         }
     }
@@ -173,7 +173,7 @@
     fn back_as(&mut self, step: &Step<'_>, name: &InstanceName, left: u64) -> Option<u64> {
         let back = step.seen(name).filter(|seen| {
             seen.report.incarnation > left
-                && seen.report.standing != Standing::Leaving
+                && seen.report.standing != UpstreamState::Leaving
                 && !seen.sick
                 && seen.is_fresh(step.now_ms, self.settings.failed_after_ms)
         });
@@ -195,11 +195,11 @@
     /// declared and the learnt one.
     fn declared(&self, step: &Step<'_>, instance: &Instance) -> (u64, u64) {
         let wave = match &instance.duty {
-            Duty::Draining { absence } | Duty::Away { absence } => match absence {
+            DesiredState::Draining { absence } | DesiredState::Away { absence } => match absence {
                 Absence::Reboot { wave } | Absence::Replace { wave } => Some(wave),
                 _ => None,
             },
-            Duty::Serving => None,
+            DesiredState::Serving => None,
         };
         let wave = wave.and_then(|name| step.fleet.waves().get(name));
         let Some(wave) = wave else {
--- a/src/maintenance/controller/loans.rs
+++ b/src/maintenance/controller/loans.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::model::{Absence, Duty, Instance, InstanceName, Pool, PoolName, WaveName};
+use crate::model::{Absence, DesiredState, Instance, InstanceName, Pool, PoolName, WaveName};
 
 use super::super::pace::{PoolPace, next_loan, next_visit, no_spare};
 use super::super::{Cause, FleetCommand, Wave, WaveSpec};
@@ -195,7 +195,7 @@
     let mut coming = BTreeMap::new();
     for name in step.fleet.absent() {
         let duty = step.fleet.instances().get(name).map(|i| &i.duty);
-        if let Some(Duty::Draining {
+        if let Some(DesiredState::Draining {
             absence: Absence::Move { to },
         }) = duty
         {
--- a/src/maintenance/controller/repairs.rs
+++ b/src/maintenance/controller/repairs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::model::{Absence, Duty, Instance, InstanceName, Standing, ZoneName};
+use crate::model::{Absence, DesiredState, Instance, InstanceName, UpstreamState, ZoneName};
 
 use super::super::FleetCommand;
 use super::{Controller, Step, names};
@@ -16,7 +16,7 @@
         for (name, instance) in fleet.instances() {
             while heard.next_if(|(other, _)| *other < name).is_some() {}
             let seen = heard.next_if(|(other, _)| *other == name);
-            if matches!(instance.duty, Duty::Away { .. }) {
+            if matches!(instance.duty, DesiredState::Away { .. }) {
                 continue;
             }
             let failed = fleet.is_failed(name);
@@ -41,7 +41,7 @@
             let Some(instance) = step.fleet.instances().get(&name) else {
                 continue;
             };
-            if instance.duty != Duty::Serving {
+            if instance.duty != DesiredState::Serving {
                 continue;
             }
             if is_leaving(step, &name) {
@@ -63,7 +63,7 @@
 
     fn repairs_running(&self, step: &Step<'_>) -> u32 {
         let absence = Absence::Repair;
-        let repair = Duty::Away { absence };
+        let repair = DesiredState::Away { absence };
         let absent = step.fleet.absent().iter();
         let absent = absent.filter_map(|name| step.fleet.instances().get(name));
         let count = absent.filter(|instance| instance.duty == repair).count();
@@ -118,7 +118,7 @@
 /// Whether an upstream last said that it leaves for good.
 pub(super) fn is_leaving(step: &Step<'_>, name: &InstanceName) -> bool {
     let standing = step.seen(name).map(|seen| seen.report.standing);
-    standing == Some(Standing::Leaving)
+    standing == Some(UpstreamState::Leaving)
 }
 
 /// Zones of which more than half the instances failed. They are rather cut off
@@ -128,7 +128,7 @@
     for (name, instance) in step.fleet.instances() {
         // Those out by decision say nothing of the zone: counted in, a few set
         // aside and a few lost together would stop all repair for good.
-        if matches!(instance.duty, Duty::Away { .. }) {
+        if matches!(instance.duty, DesiredState::Away { .. }) {
             continue;
         }
         let (all, failed) = zones.entry(&instance.zone).or_default();
--- a/src/maintenance/controller/waves.rs
+++ b/src/maintenance/controller/waves.rs
@@ -1,6 +1,6 @@
 //! Waves: the next instances to take out.
 
-use crate::model::{Duty, InstanceName, PoolName};
+use crate::model::{DesiredState, InstanceName, PoolName};
 
 use super::super::pace::next_visit;
 use super::super::{FleetCommand, Wave, WaveState};
@@ -54,7 +54,7 @@
 
     pub(super) fn is_ready(&self, step: &Step<'_>, name: &InstanceName) -> bool {
         let serving = step.fleet.instances().get(name);
-        serving.is_some_and(|instance| instance.duty == Duty::Serving)
+        serving.is_some_and(|instance| instance.duty == DesiredState::Serving)
             && !step.fleet.is_failed(name)
             && !self.proposed.contains_key(name)
     }
--- a/src/maintenance/detector.rs
+++ b/src/maintenance/detector.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use crate::model::{InstanceName, Standing};
+use crate::model::{InstanceName, UpstreamState};
 
 use super::{ControllerSettings, InstanceSeen};
 
@@ -79,7 +79,7 @@
     ) -> bool {
         let heard_ms = seen.map_or(self.started_ms, |s| s.heard_ms.max(self.started_ms));
         let heard = now_ms.saturating_sub(heard_ms) < settings.failed_after_ms;
-        let bad = seen.is_some_and(|s| s.sick || s.report.standing == Standing::Leaving);
+        let bad = seen.is_some_and(|s| s.sick || s.report.standing == UpstreamState::Leaving);
         heard && !bad
     }
 
--- a/src/maintenance/fleet.rs
+++ b/src/maintenance/fleet.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::model::{Duty, Instance, InstanceName, Pool, PoolName, ServiceName, WaveName};
+use crate::model::{DesiredState, Instance, InstanceName, Pool, PoolName, ServiceName, WaveName};
 
 use super::{BudgetUse, FleetCommand, FleetRefusal, Record, Tally, Trail, Wave};
 
@@ -180,7 +180,7 @@
     /// Refuses a voluntary absence that the pool's budget has no room for. An
     /// instance that is absent already costs nothing more.
     fn check_absence(&self, instance: &Instance) -> Result<(), FleetRefusal> {
-        if instance.duty != Duty::Serving || self.is_failed(&instance.name) {
+        if instance.duty != DesiredState::Serving || self.is_failed(&instance.name) {
             return Ok(());
         }
         let pool = self.pool(&instance.pool)?;
@@ -221,7 +221,7 @@
             .entry(new.clone())
             .or_default()
             .add(instance, failed);
-        if instance.duty == Duty::Serving {
+        if instance.duty == DesiredState::Serving {
             self.absent.remove(name);
         } else {
             self.absent.insert(name.clone());
@@ -243,7 +243,7 @@
         self.change(at_unix_ms, name, note, |instance| {
             instance.pool = pool.clone();
             instance.epoch += 1;
-            instance.duty = Duty::Serving;
+            instance.duty = DesiredState::Serving;
         });
     }
 
--- a/src/maintenance/fleet/absences.rs
+++ b/src/maintenance/fleet/absences.rs
@@ -1,6 +1,6 @@
 //! Absences of single instances: drains, stops, repairs and returns.
 
-use crate::model::{Absence, Duty, Instance, InstanceName};
+use crate::model::{Absence, DesiredState, Instance, InstanceName};
 
 use super::{Fleet, FleetRefusal};
 
@@ -15,7 +15,7 @@
         self.check_absence(instance)?;
         let absence = Absence::Operator;
         self.change(at_unix_ms, name, "drained by an operator", |instance| {
-            instance.duty = Duty::Draining { absence };
+            instance.duty = DesiredState::Draining { absence };
         });
         Ok(())
     }
@@ -27,7 +27,7 @@
     ) -> Result<(), FleetRefusal> {
         let instance = self.instance(name)?;
         let absence = Absence::Operator;
-        if instance.duty != (Duty::Draining { absence }) {
+        if instance.duty != (DesiredState::Draining { absence }) {
             return Err(wrong_duty(instance, "no operator drained it"));
         }
         let pool = instance.pool.clone();
@@ -44,7 +44,7 @@
     ) -> Result<(), FleetRefusal> {
         let instance = self.instance(name)?;
         let absence = match &instance.duty {
-            Duty::Draining {
+            DesiredState::Draining {
                 absence: absence @ (Absence::Reboot { .. } | Absence::Replace { .. }),
             } => absence.clone(),
             _ => return Err(wrong_duty(instance, "only a wave's drain ends in a stop")),
@@ -61,7 +61,7 @@
             name,
             "stopped: nothing runs on it",
             |instance| {
-                instance.duty = Duty::Away { absence };
+                instance.duty = DesiredState::Away { absence };
             },
         );
         self.left(name, incarnation);
@@ -75,12 +75,12 @@
         incarnation: u64,
     ) -> Result<(), FleetRefusal> {
         let instance = self.instance(name)?;
-        if instance.duty != Duty::Serving || !self.is_failed(name) {
+        if instance.duty != DesiredState::Serving || !self.is_failed(name) {
             return Err(wrong_duty(instance, "only a failed one is repaired"));
         }
         let absence = Absence::Repair;
         self.change(at_unix_ms, name, "repair started: it failed", |instance| {
-            instance.duty = Duty::Away { absence };
+            instance.duty = DesiredState::Away { absence };
         });
         self.left(name, incarnation);
         if let Some(record) = self.records.get_mut(name) {
@@ -97,10 +97,10 @@
     ) -> Result<(), FleetRefusal> {
         let instance = self.instance(name)?;
         let absence = match &instance.duty {
-            Duty::Away {
+            DesiredState::Away {
                 absence: Absence::Operator | Absence::SetAside { .. },
             } => return Err(wrong_duty(instance, "restore it first")),
-            Duty::Away { absence } => absence.clone(),
+            DesiredState::Away { absence } => absence.clone(),
             _ => return Err(wrong_duty(instance, "it was not away")),
         };
         let left = self.records.get(name).map_or(0, |r| r.left_incarnation);
@@ -132,7 +132,7 @@
         };
         let note = format!("set aside: {reason}");
         self.change(at_unix_ms, name, &note, |instance| {
-            instance.duty = Duty::Away { absence };
+            instance.duty = DesiredState::Away { absence };
         });
         self.note_pool(at_unix_ms, &pool, &format!("{name} set aside: {reason}"));
         self.drop_from_waves(at_unix_ms, name, &pool, reason);
@@ -147,7 +147,7 @@
         let instance = self.instance(name)?;
         let aside = matches!(
             &instance.duty,
-            Duty::Away {
+            DesiredState::Away {
                 absence: Absence::SetAside { .. }
             }
         );
@@ -166,7 +166,7 @@
     /// budget nothing more, but drained it could not come back to a pool that
     /// may be broken over it.
     pub(super) fn check_serves(&self, instance: &Instance) -> Result<(), FleetRefusal> {
-        if instance.duty != Duty::Serving {
+        if instance.duty != DesiredState::Serving {
             return Err(wrong_duty(instance, "wait until it serves"));
         }
         if self.is_failed(&instance.name) {
@@ -190,9 +190,9 @@
 /// The refusal of a change that does not fit what the instance is doing.
 pub(super) fn wrong_duty(instance: &Instance, remedy: &str) -> FleetRefusal {
     let duty = match &instance.duty {
-        Duty::Serving => "serving".to_owned(),
-        Duty::Draining { absence } => format!("draining ({})", words(absence)),
-        Duty::Away { absence } => format!("away ({})", words(absence)),
+        DesiredState::Serving => "serving".to_owned(),
+        DesiredState::Draining { absence } => format!("draining ({})", words(absence)),
+        DesiredState::Away { absence } => format!("away ({})", words(absence)),
     };
     FleetRefusal::WrongDuty {
         instance: instance.name.clone(),
--- a/src/maintenance/fleet/membership.rs
+++ b/src/maintenance/fleet/membership.rs
@@ -1,7 +1,7 @@
 //! Pools and who is in them, failures included.
 
 use crate::model::{
-    Budget, Duty, Instance, InstanceName, Pool, PoolName, RackName, Survive, ZoneName,
+    Budget, DesiredState, FailureDomain, Instance, InstanceName, Pool, PoolName, RackName, ZoneName,
 };
 
 use super::{Fleet, FleetRefusal};
@@ -88,7 +88,7 @@
             rack: rack.clone(),
             pool: pool.clone(),
             epoch: 1,
-            duty: Duty::Serving,
+            duty: DesiredState::Serving,
         };
         let tally = self.tallies.entry(pool.clone()).or_default();
         tally.add(&instance, false);
@@ -144,7 +144,7 @@
         let text = if failed { "failed" } else { "is back" };
         let record = self.records.entry(name.clone()).or_default();
         record.revision += 1;
-        if matches!(self.instances.get(name), Some(i) if i.duty == Duty::Serving) {
+        if matches!(self.instances.get(name), Some(i) if i.duty == DesiredState::Serving) {
             record.since_unix_ms = at_unix_ms;
         }
         self.note_instance(at_unix_ms, name, text);
@@ -153,10 +153,10 @@
     }
 }
 
-fn rank(survive: Survive) -> u8 {
+fn rank(survive: FailureDomain) -> u8 {
     match survive {
-        Survive::None => 0,
-        Survive::Instance => 1,
-        Survive::Rack => 2,
+        FailureDomain::None => 0,
+        FailureDomain::Instance => 1,
+        FailureDomain::Rack => 2,
     }
 }
--- a/src/maintenance/fleet/moves.rs
+++ b/src/maintenance/fleet/moves.rs
@@ -1,7 +1,7 @@
 //! Moves between pools. An instance belongs to its old pool until the move
 //! finishes, so that it is in exactly one pool at any moment.
 
-use crate::model::{Absence, Duty, Instance, InstanceName, PoolName};
+use crate::model::{Absence, DesiredState, Instance, InstanceName, PoolName};
 
 use super::absences::wrong_duty;
 use super::{Fleet, FleetRefusal};
@@ -102,17 +102,17 @@
         let absence = Absence::Move { to: to.clone() };
         let note = format!("drains to move to {to}: {reason}");
         self.change(at_unix_ms, name, &note, |instance| {
-            instance.duty = Duty::Draining { absence };
+            instance.duty = DesiredState::Draining { absence };
         });
     }
 }
 
 /// The pool a duty moves its instance to.
-pub(super) fn move_target(duty: &Duty) -> Option<&PoolName> {
+pub(super) fn move_target(duty: &DesiredState) -> Option<&PoolName> {
     match duty {
-        Duty::Draining {
+        DesiredState::Draining {
             absence: Absence::Move { to },
         } => Some(to),
-        Duty::Serving | Duty::Draining { .. } | Duty::Away { .. } => None,
+        DesiredState::Serving | DesiredState::Draining { .. } | DesiredState::Away { .. } => None,
     }
 }
--- a/src/maintenance/fleet/waves.rs
+++ b/src/maintenance/fleet/waves.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::model::{Absence, Duty, InstanceName, PoolName, WaveName};
+use crate::model::{Absence, DesiredState, InstanceName, PoolName, WaveName};
 
 use super::super::{Trail, WaveSpec, WaveState};
 use super::absences::wrong_duty;
@@ -57,7 +57,7 @@
                 continue;
             }
             match &instance.duty {
-                Duty::Away {
+                DesiredState::Away {
                     absence: Absence::SetAside { reason },
                 } => {
                     wave.left_out.insert(instance.name.clone(), reason.clone());
@@ -114,7 +114,7 @@
         }
         let note = format!("drains for wave {wave}");
         self.change(at_unix_ms, name, &note, |instance| {
-            instance.duty = Duty::Draining { absence };
+            instance.duty = DesiredState::Draining { absence };
         });
         Ok(())
     }
@@ -127,7 +127,7 @@
     ) -> Result<(), FleetRefusal> {
         let instance = self.instance(name)?;
         let wave = match &instance.duty {
-            Duty::Draining { absence } => wave_of(absence).cloned(),
+            DesiredState::Draining { absence } => wave_of(absence).cloned(),
             _ => None,
         };
         let Some(wave) = wave else {
@@ -244,7 +244,7 @@
         let Some(instance) = self.instances.get(name) else {
             return;
         };
-        if !matches!(instance.duty, Duty::Draining { .. }) {
+        if !matches!(instance.duty, DesiredState::Draining { .. }) {
             return;
         }
         let pool = instance.pool.clone();
--- a/src/maintenance/pace.rs
+++ b/src/maintenance/pace.rs
@@ -5,7 +5,7 @@
 
 use std::cmp::Reverse;
 
-use crate::model::{Budget, Instance, PoolName, Survive};
+use crate::model::{Budget, FailureDomain, Instance, PoolName};
 
 use super::{Room, WaveWeights};
 
@@ -35,7 +35,7 @@
     budget: &Budget,
     mut candidates: impl Iterator<Item = &'a Instance>,
 ) -> Option<&'a Instance> {
-    if budget.survive != Survive::Rack {
+    if budget.survive != FailureDomain::Rack {
         let first = candidates.next()?;
         return room.holds_without(&first.rack, budget).then_some(first);
     }
--- a/src/maintenance/room.rs
+++ b/src/maintenance/room.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::model::{Budget, RackName, Survive};
+use crate::model::{Budget, FailureDomain, RackName};
 
 /// How many instances of a pool serve, by rack.
 ///
@@ -42,7 +42,7 @@
     /// a budget that survives a rack, one in the largest rack gives none.
     pub fn gains_by(&self, rack: &RackName, budget: &Budget) -> bool {
         let largest = self.members.values().max().copied().unwrap_or(0);
-        budget.survive != Survive::Rack || self.members(rack) < largest
+        budget.survive != FailureDomain::Rack || self.members(rack) < largest
     }
 
     /// One more instance of `rack` serves.
@@ -78,17 +78,17 @@
 
     /// The racks with the most instances that serve, and how many.
     pub fn worst_racks(&self) -> (u32, impl Iterator<Item = &RackName>) {
-        let worst = self.worst_loss(Survive::Rack);
+        let worst = self.worst_loss(FailureDomain::Rack);
         let racks = self.by_rack.iter().filter(move |(_, size)| **size == worst);
         (worst, racks.map(|(rack, _)| rack))
     }
 
     /// Instances lost with the worst failure domain still to come.
-    pub fn worst_loss(&self, survive: Survive) -> u32 {
+    pub fn worst_loss(&self, survive: FailureDomain) -> u32 {
         match survive {
-            Survive::None => 0,
-            Survive::Instance => self.serving.min(1),
-            Survive::Rack => self.racks_by_size.keys().next_back().copied().unwrap_or(0),
+            FailureDomain::None => 0,
+            FailureDomain::Instance => self.serving.min(1),
+            FailureDomain::Rack => self.racks_by_size.keys().next_back().copied().unwrap_or(0),
         }
     }
 
@@ -101,9 +101,9 @@
     pub fn holds_without(&self, rack: &RackName, budget: &Budget) -> bool {
         let serving = self.serving.saturating_sub(1);
         let worst = match budget.survive {
-            Survive::None => 0,
-            Survive::Instance => serving.min(1),
-            Survive::Rack => self.worst_rack_without(rack),
+            FailureDomain::None => 0,
+            FailureDomain::Instance => serving.min(1),
+            FailureDomain::Rack => self.worst_rack_without(rack),
         };
         serving - worst >= budget.min_available
     }
@@ -114,9 +114,9 @@
         let racks = self.racks().max(1);
         let fits = |left: u32| {
             let worst = match budget.survive {
-                Survive::None => 0,
-                Survive::Instance => left.min(1),
-                Survive::Rack => left.div_ceil(racks),
+                FailureDomain::None => 0,
+                FailureDomain::Instance => left.min(1),
+                FailureDomain::Rack => left.div_ceil(racks),
             };
             left - worst >= budget.min_available
         };
@@ -125,7 +125,7 @@
     }
 
     fn worst_rack_without(&self, rack: &RackName) -> u32 {
-        let worst = self.worst_loss(Survive::Rack);
+        let worst = self.worst_loss(FailureDomain::Rack);
         let alone = self.racks_by_size.get(&worst) == Some(&1);
         if alone && self.rack(rack) == worst {
             worst.saturating_sub(1)
--- a/src/maintenance/stop_proof.rs
+++ b/src/maintenance/stop_proof.rs
@@ -1,4 +1,4 @@
-use crate::model::{EntryName, InstanceName, Standing};
+use crate::model::{EntryName, InstanceName, UpstreamState};
 
 use super::{ControllerSettings, InstanceSeen, Observed};
 
@@ -87,7 +87,7 @@
     /// Takes in the instance's last report.
     pub fn hear(&mut self, seen: &InstanceSeen) {
         let report = &seen.report;
-        if report.standing == Standing::Serving || report.pool_epoch != self.epoch {
+        if report.standing == UpstreamState::Serving || report.pool_epoch != self.epoch {
             self.draining = None;
             return;
         }
--- a/src/model/budget.rs
+++ b/src/model/budget.rs
@@ -8,13 +8,13 @@
     pub min_available: u32,
     /// Largest failure domain whose loss must still leave `min_available`
     /// instances.
-    pub survive: Survive,
+    pub survive: FailureDomain,
 }
 
 /// A failure domain whose loss a budget allows for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
-pub enum Survive {
+pub enum FailureDomain {
     /// No loss: no instances beyond `min_available` are kept.
     #[display("none")]
     None,
--- a/src/model/duty.rs
+++ b/src/model/duty.rs
@@ -8,7 +8,7 @@
 /// failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Duty {
+pub enum DesiredState {
     /// Accepts requests of its pool.
     Serving,
     /// Gets no new requests; running ones may finish.
--- a/src/model/instance.rs
+++ b/src/model/instance.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-use super::{Duty, InstanceName, PoolName, RackName, ZoneName};
+use super::{DesiredState, InstanceName, PoolName, RackName, ZoneName};
 
 /// A worker machine as the replicated state knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -17,5 +17,5 @@
     /// older epoch is rejected.
     pub epoch: u64,
     /// Its desired state.
-    pub duty: Duty,
+    pub duty: DesiredState,
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -18,11 +18,11 @@
 mod row;
 mod service;
 
-pub use budget::{Budget, Survive};
+pub use budget::{Budget, FailureDomain};
 pub use capacity::Capacity;
 pub use class::Class;
 pub use demand::Demand;
-pub use duty::{Absence, Duty};
+pub use duty::{Absence, DesiredState};
 pub use instance::Instance;
 pub use names::{
     ChangeId, EntryName, InstanceName, PoolName, RackName, RequestKey, ServiceName, TeamName,
@@ -31,6 +31,6 @@
 pub use outcome::Outcome;
 pub use pool::Pool;
 pub use refusal::RefusalReason;
-pub use report::{Standing, UpstreamReport};
+pub use report::{UpstreamReport, UpstreamState};
 pub use row::{Row, RowKey, VersionedRow};
 pub use service::Service;
--- a/src/model/report.rs
+++ b/src/model/report.rs
@@ -28,7 +28,7 @@
     /// The latest pool epoch that it received, 0 if none.
     pub pool_epoch: u64,
     /// Its state by its own report.
-    pub standing: Standing,
+    pub standing: UpstreamState,
     /// Number of requests that it runs, from all entry instances.
     pub running: u32,
     /// Age of `running` when the report was sent, in milliseconds.
@@ -38,7 +38,7 @@
 /// The state that an upstream reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum UpstreamState {
     /// Accepts new requests.
     #[display("serving")]
     Serving,
--- a/src/upstream/worker.rs
+++ b/src/upstream/worker.rs
@@ -1,6 +1,6 @@
 use std::collections::VecDeque;
 
-use crate::model::{PoolName, Standing, UpstreamReport};
+use crate::model::{PoolName, UpstreamReport, UpstreamState};
 
 use super::orders::is_restart;
 use super::{Faults, Orders, Refusal, Spec};
@@ -87,7 +87,7 @@
             self.pool_epoch = pool_epoch;
             self.pool = PoolName::from(pool);
         }
-        if self.standing(now_ms) != Standing::Serving {
+        if self.standing(now_ms) != UpstreamState::Serving {
             self.last_refused_ms = Some(now_ms);
             return Err(Refusal::Leaving);
         }
@@ -187,13 +187,13 @@
     }
 
     /// What it says it is doing.
-    pub fn standing(&self, now_ms: u64) -> Standing {
+    pub fn standing(&self, now_ms: u64) -> UpstreamState {
         if self.leaving_since_ms.is_some() {
-            return Standing::Leaving;
+            return UpstreamState::Leaving;
         }
         match self.orders.current(now_ms) {
-            None | Some((_, _, Order::Serve)) => Standing::Serving,
-            Some(_) => Standing::Draining,
+            None | Some((_, _, Order::Serve)) => UpstreamState::Serving,
+            Some(_) => UpstreamState::Draining,
         }
     }
 
--- a/tests/load_properties.rs
+++ b/tests/load_properties.rs
@@ -13,8 +13,8 @@
     Action, AttemptId, AttemptRefusal, Dispatcher, Input, LoadSettings, Request, RequestId, View,
 };
 use rosemarygauge::model::{
-    Absence, Capacity, Class, Duty, InstanceName, Row, RowKey, ServiceName, Standing,
-    UpstreamReport, ZoneName,
+    Absence, Capacity, Class, DesiredState, InstanceName, Row, RowKey, ServiceName, UpstreamReport,
+    UpstreamState, ZoneName,
 };
 
 const ZONES: [&str; 2] = ["a", "b"];
@@ -215,7 +215,7 @@
                     ..fleets::WORKER
                 },
                 pool_epoch: 1,
-                standing: Standing::Serving,
+                standing: UpstreamState::Serving,
                 running: 0,
                 usage_age_ms: 0,
             },
@@ -227,9 +227,9 @@
             report.sequence = 1;
         }
         report.standing = if self.rng.random_bool(0.1) {
-            Standing::Draining
+            UpstreamState::Draining
         } else {
-            Standing::Serving
+            UpstreamState::Serving
         };
         let lease_until_ms = self.now_ms + self.rng.random_range(1..3_000);
         self.reports
@@ -241,7 +241,7 @@
         // An older report that comes late through a peer changes nothing.
         if self.rng.random_bool(0.2) {
             report.sequence -= 1;
-            report.standing = Standing::Serving;
+            report.standing = UpstreamState::Serving;
             report.capacity.slots = 100;
             self.feed(Input::Report {
                 report: &report,
@@ -257,11 +257,11 @@
         let instance = view.instances.get_mut(name).unwrap();
         match self.rng.random_range(0..4) {
             0 => {
-                instance.duty = Duty::Draining {
+                instance.duty = DesiredState::Draining {
                     absence: Absence::Operator,
                 }
             }
-            1 => instance.duty = Duty::Serving,
+            1 => instance.duty = DesiredState::Serving,
             2 => {
                 let pool = ["people", "store"][self.rng.random_range(0..2)];
                 instance.pool = pool.into();
@@ -364,8 +364,8 @@
         let member = &self.view.instances[instance];
         let (report, lease_until_ms) = &self.reports[instance];
         assert_eq!(self.view.carriers[&request.service], member.pool);
-        assert_eq!(member.duty, Duty::Serving);
-        assert_eq!(report.standing, Standing::Serving);
+        assert_eq!(member.duty, DesiredState::Serving);
+        assert_eq!(report.standing, UpstreamState::Serving);
         assert!(*lease_until_ms > self.now_ms && request.deadline_ms > self.now_ms);
         assert_eq!(report.incarnation, incarnation);
         assert!(self.is_fresh || report.zone.as_str() == "a");
--- a/tests/load_rows.rs
+++ b/tests/load_rows.rs
@@ -8,7 +8,8 @@
     fleets, harness::Ending,
 };
 use rosemarygauge::model::{
-    Absence, Capacity, Class, Duty, RefusalReason, Row, RowKey, Standing, UpstreamReport,
+    Absence, Capacity, Class, DesiredState, RefusalReason, Row, RowKey, UpstreamReport,
+    UpstreamState,
 };
 
 const ZONES: [&str; 3] = [ZONE, "amman-2", "amman-3"];
@@ -291,7 +292,7 @@
             ..fleets::WORKER
         },
         pool_epoch: 1,
-        standing: Standing::Serving,
+        standing: UpstreamState::Serving,
         running: 0,
         usage_age_ms: 0,
     }
@@ -380,7 +381,7 @@
     assert_eq!(sent(&tell(&mut side, 20, &report("pool-0", 2))).len(), 1);
     assert_eq!(sent(&lose(&mut side, 25, 0)).len(), 0);
     view.instances.values_mut().for_each(|i| {
-        i.duty = Duty::Draining {
+        i.duty = DesiredState::Draining {
             absence: Absence::Operator,
         }
     });
--- a/tests/maintenance/faults.rs
+++ b/tests/maintenance/faults.rs
@@ -4,11 +4,11 @@
 use rosemarygauge::maintenance::{
     Cause, FleetCommand, FleetRefusal, Selection, WaveKind, WaveState,
 };
-use rosemarygauge::model::{Absence, Duty, InstanceName, PoolName, Survive};
+use rosemarygauge::model::{Absence, DesiredState, FailureDomain, InstanceName, PoolName};
 
 use super::worlds::{MINUTE_MS, audit, kill_rack, wave};
 
-fn world(survive: Survive) -> World {
+fn world(survive: FailureDomain) -> World {
     let mut world = World::new(fleet(50, 5, survive), 1);
     world.draw(30, |_| (MINUTE_MS, 4 * MINUTE_MS));
     world.audit = audit;
@@ -21,14 +21,14 @@
     tally.members().iter().nth(nth).unwrap().clone()
 }
 
-fn duty<'a>(world: &'a World, name: &InstanceName) -> &'a Duty {
+fn duty<'a>(world: &'a World, name: &InstanceName) -> &'a DesiredState {
     &world.fleet.instances()[name].duty
 }
 
 fn is_aside(world: &World, name: &InstanceName) -> bool {
     matches!(
         duty(world, name),
-        Duty::Away {
+        DesiredState::Away {
             absence: Absence::SetAside { .. }
         }
     )
@@ -50,7 +50,7 @@
 /// the wave goes on by itself and reaches every instance.
 #[test]
 fn rack_lost_mid_wave() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     start(&mut world, Selection::All);
     world.run_until(10 * MINUTE_MS, |_| false);
     kill_rack(&mut world, &"worker-00040".into());
@@ -78,7 +78,7 @@
 /// and the wave ends without it.
 #[test]
 fn instance_that_never_returns() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     let lost = member(&world, "pool-02", 0);
     world.machines.get_mut(&lost).unwrap().fate = Fate::Never;
     start(&mut world, Selection::Pool("pool-02".into()));
@@ -98,7 +98,7 @@
 /// it is set aside, or it would take its share of requests each time for ever.
 #[test]
 fn instance_that_comes_back_sick() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     let sick = member(&world, "pool-02", 0);
     world.machines.get_mut(&sick).unwrap().fate = Fate::Sick;
     start(&mut world, Selection::Pool("pool-02".into()));
@@ -114,7 +114,7 @@
     world.kill(&sick);
     assert!(world.run_until(MINUTE_MS, |w| w.fleet.is_failed(&sick)));
     assert!(world.run_until(30 * MINUTE_MS, |w| !w.fleet.is_failed(&sick)));
-    assert_eq!(*duty(&world, &sick), Duty::Serving);
+    assert_eq!(*duty(&world, &sick), DesiredState::Serving);
 }
 
 /// An instance dies between its drain and its change of pool. The move is
@@ -122,7 +122,7 @@
 /// brings it back there.
 #[test]
 fn instance_dies_mid_move() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     let name = member(&world, "pool-01", 0);
     let (instance, to) = (name.clone(), "pool-03".into());
     world
@@ -130,7 +130,7 @@
         .unwrap();
     world.run_until(10_000, |_| false);
     world.kill(&name);
-    assert!(world.run_until(MINUTE_MS, |w| *duty(w, &name) == Duty::Serving));
+    assert!(world.run_until(MINUTE_MS, |w| *duty(w, &name) == DesiredState::Serving));
     assert_eq!(
         world.fleet.instances()[&name].pool,
         PoolName::from("pool-01")
@@ -146,7 +146,7 @@
 /// Once the upstream has drained, its permissions run out and the move ends.
 #[test]
 fn silent_entry_during_a_move() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     let name = member(&world, "pool-01", 0);
     world.silent.insert("entry-b".into());
     // Its work takes eleven minutes to end.
@@ -184,13 +184,13 @@
 /// both are whole again without an operator.
 #[test]
 fn second_instance_lost_right_after_a_repair() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     let (first, second) = (member(&world, "pool-04", 11), member(&world, "pool-04", 10));
     start(&mut world, Selection::Pool("pool-04".into()));
     world.kill(&first);
     let repaired = |w: &World| {
         let record = w.fleet.record(&first).unwrap();
-        !record.repairs_unix_ms.is_empty() && *duty(w, &first) == Duty::Serving
+        !record.repairs_unix_ms.is_empty() && *duty(w, &first) == DesiredState::Serving
     };
     assert!(world.run_until(30 * MINUTE_MS, repaired));
     world.kill(&second);
@@ -204,7 +204,7 @@
 /// standing; they are left alone until most of the zone is back.
 #[test]
 fn zone_cut_off_is_not_repaired() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     let zone: Vec<InstanceName> = world
         .fleet
         .instances()
@@ -226,7 +226,7 @@
 /// long ago says nothing of it. The lost ones are repaired, four at a time.
 #[test]
 fn instances_set_aside_do_not_make_a_zone_look_cut_off() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     let of_zone = world
         .fleet
         .instances()
@@ -253,7 +253,7 @@
         world.kill(name);
     }
     let absence = Absence::Repair;
-    let repair = Duty::Away { absence };
+    let repair = DesiredState::Away { absence };
     let running = |w: &World| {
         w.fleet
             .instances()
@@ -274,7 +274,7 @@
 /// stay paused for ever. It borrows from the pool with the most to spare.
 #[test]
 fn pool_that_repair_cannot_mend_borrows() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     for nth in 0..3 {
         let name = member(&world, "pool-00", nth);
         world.machines.get_mut(&name).unwrap().fate = Fate::Never;
@@ -299,7 +299,7 @@
 /// on: each is refused with what the instance is doing, and changes nothing.
 #[test]
 fn late_and_repeated_commands_are_void() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     // The log takes what an operator types, proved or not.
     world.audit = |_, _| {};
     let name = member(&world, "pool-01", 0);
@@ -352,7 +352,7 @@
 /// its pool's budget up and down. It counts as failed nearly all the time.
 #[test]
 fn flapping_instance_does_not_flood_the_log() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     let name = member(&world, "pool-00", 0);
     let before = world.counts.accepted;
     for _ in 0..360 {
@@ -370,7 +370,7 @@
 /// on it any more; the wave goes on without it.
 #[test]
 fn upstream_that_leaves() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     let name = member(&world, "pool-00", 7);
     start(&mut world, Selection::Pool("pool-00".into()));
     world.machines.get_mut(&name).unwrap().state = MachineState::Leaving {
@@ -391,14 +391,14 @@
 /// it was never stopped with work on it.
 #[test]
 fn drain_that_never_ends() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     let name = member(&world, "pool-00", 0);
     world.machines.get_mut(&name).unwrap().drain_ms = u64::MAX / 2;
     start(&mut world, Selection::Pool("pool-00".into()));
     assert!(world.run_until(180 * MINUTE_MS, |w| *state(w) == WaveState::Done));
     let why = &world.fleet.waves()["roll"].left_out[&name];
     assert_eq!(why, "put off 3 times: 1 requests run on it");
-    assert_eq!(*duty(&world, &name), Duty::Serving);
+    assert_eq!(*duty(&world, &name), DesiredState::Serving);
 }
 
 /// The leader's wall clock jumps a day ahead while instances reboot. By the times
@@ -406,7 +406,7 @@
 /// aside, and what the wave learns of visits stays usable.
 #[test]
 fn wall_clock_of_the_leader_jumps() {
-    let mut world = world(Survive::Instance);
+    let mut world = world(FailureDomain::Instance);
     start(&mut world, Selection::Pool("pool-00".into()));
     world.run_until(3 * MINUTE_MS, |_| false);
     world.clock_error_ms = 24 * 60 * MINUTE_MS;
--- a/tests/maintenance/fleet_twin.rs
+++ b/tests/maintenance/fleet_twin.rs
@@ -10,11 +10,15 @@
 use rosemarygauge::maintenance::{
     Fleet, FleetCommand, FleetRefusal, Selection, WaveKind, WaveSpec, WaveWeights,
 };
-use rosemarygauge::model::{Duty, InstanceName, PoolName, Survive, WaveName};
+use rosemarygauge::model::{DesiredState, FailureDomain, InstanceName, PoolName, WaveName};
 
 use super::recount::{Recount, check};
 
-const SURVIVALS: [Survive; 3] = [Survive::None, Survive::Instance, Survive::Rack];
+const SURVIVALS: [FailureDomain; 3] = [
+    FailureDomain::None,
+    FailureDomain::Instance,
+    FailureDomain::Rack,
+];
 
 fn command(fleet: &Fleet, rng: &mut ChaCha8Rng) -> FleetCommand {
     let names: Vec<&InstanceName> = fleet.instances().keys().collect();
@@ -98,7 +102,7 @@
         | FleetCommand::SetAside { instance, .. } => instance,
         _ => return None,
     };
-    let serves = fleet.instances()[name].duty == Duty::Serving && !fleet.is_failed(name);
+    let serves = fleet.instances()[name].duty == DesiredState::Serving && !fleet.is_failed(name);
     serves.then_some(name)
 }
 
@@ -150,7 +154,7 @@
 /// the numbers they can check against their own table.
 #[test]
 fn refusals_show_the_arithmetic() {
-    let mut fleet = fleet(50, 5, Survive::Instance);
+    let mut fleet = fleet(50, 5, FailureDomain::Instance);
     let mut pool = fleet.pools()[&PoolName::from("pool-00")].clone();
     pool.budget.min_available = 80;
     let refusal = fleet.apply(0, &FleetCommand::PutPool { pool }).unwrap_err();
--- a/tests/maintenance/plans.rs
+++ b/tests/maintenance/plans.rs
@@ -3,7 +3,7 @@
 use rosemarygauge::cmd::measure_waves::{Deployment, Trouble, fleet, measure, spec};
 use rosemarygauge::maintenance::bounds::visits_bound_ms;
 use rosemarygauge::maintenance::{Figures, FleetCommand, Selection, Work, plan};
-use rosemarygauge::model::{PoolName, Survive};
+use rosemarygauge::model::{FailureDomain, PoolName};
 
 use super::recount::Recount;
 
@@ -12,7 +12,11 @@
 #[test]
 fn a_plan_holds_the_budget_and_its_bounds() {
     for (instances, pools) in [(50, 5), (300, 7)] {
-        for survive in [Survive::None, Survive::Instance, Survive::Rack] {
+        for survive in [
+            FailureDomain::None,
+            FailureDomain::Instance,
+            FailureDomain::Rack,
+        ] {
             for deployment in [Deployment::Grants, Deployment::Tunnels] {
                 let mut fleet = fleet(instances, pools, survive);
                 let plan = plan(&fleet, &spec(deployment));
@@ -53,7 +57,7 @@
 /// none has, the plan says which pool is stuck and why.
 #[test]
 fn a_pool_without_room_borrows_or_is_named() {
-    let mut fleet = fleet(50, 5, Survive::Instance);
+    let mut fleet = fleet(50, 5, FailureDomain::Instance);
     let mut wave = spec(Deployment::Tunnels);
     wave.selection = Selection::Pool("pool-00".into());
     let mut pool = fleet.pools()[&PoolName::from("pool-00")].clone();
--- a/tests/maintenance/recount.rs
+++ b/tests/maintenance/recount.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use rosemarygauge::maintenance::{Cause, Fleet};
-use rosemarygauge::model::{Duty, InstanceName, PoolName, RackName, Survive};
+use rosemarygauge::model::{DesiredState, FailureDomain, InstanceName, PoolName, RackName};
 
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Recount {
@@ -22,7 +22,7 @@
         let mut count = Self::default();
         for instance in fleet.instances().values().filter(|i| i.pool == *pool) {
             count.members += 1;
-            let serves = instance.duty == Duty::Serving
+            let serves = instance.duty == DesiredState::Serving
                 && !fleet.is_failed(&instance.name)
                 && without != Some(&instance.name);
             if serves {
@@ -33,9 +33,9 @@
             }
         }
         count.worst = match budget.survive {
-            Survive::None => 0,
-            Survive::Instance => count.serving.min(1),
-            Survive::Rack => racks.values().copied().max().unwrap_or(0),
+            FailureDomain::None => 0,
+            FailureDomain::Instance => count.serving.min(1),
+            FailureDomain::Rack => racks.values().copied().max().unwrap_or(0),
         };
         count.needed = budget.min_available;
         count
--- a/tests/maintenance/stop_proof.rs
+++ b/tests/maintenance/stop_proof.rs
@@ -6,12 +6,12 @@
 use rosemarygauge::maintenance::{
     ControllerSettings, EntryAck, InstanceSeen, Observed, StopProof, Verdict,
 };
-use rosemarygauge::model::{Capacity, InstanceName, Standing, UpstreamReport};
+use rosemarygauge::model::{Capacity, InstanceName, UpstreamReport, UpstreamState};
 
 const EPOCH: u64 = 7;
 const DRAIN_INDEX: u64 = 100;
 
-fn seen(heard_ms: u64, standing: Standing, running: u32, usage_age_ms: u64) -> InstanceSeen {
+fn seen(heard_ms: u64, standing: UpstreamState, running: u32, usage_age_ms: u64) -> InstanceSeen {
     InstanceSeen {
         report: UpstreamReport {
             instance: "worker".into(),
@@ -62,7 +62,7 @@
 #[test]
 fn acknowledgements_of_all_entries_are_a_proof() {
     let mut proof = StopProof::new(EPOCH, DRAIN_INDEX);
-    let serving = || seen(1_000, Standing::Serving, 0, 0);
+    let serving = || seen(1_000, UpstreamState::Serving, 0, 0);
     let mut judge =
         |acks: &[(&str, u64, u32)], seen| verdict(&mut proof, 1_500, &observed(seen, acks));
     let behind = judge(&[("a", 100, 0), ("b", 99, 0)], serving());
@@ -72,7 +72,7 @@
     // An entry that restarted counts nothing in flight; the upstream knows.
     let restarted = judge(
         &[("a", 100, 0), ("b", 120, 0)],
-        seen(1_000, Standing::Draining, 1, 0),
+        seen(1_000, UpstreamState::Draining, 1, 0),
     );
     assert_eq!(restarted, Verdict::Running(1));
     let all = judge(&[("a", 100, 0), ("b", 120, 0)], serving());
@@ -104,7 +104,7 @@
         // The last request: the upstream took it just before it drained.
         let starts_at_ms = drains_at_ms.saturating_sub(500);
         let mut permitted_until_ms = 0;
-        let mut heard = seen(0, Standing::Serving, 1, 0);
+        let mut heard = seen(0, UpstreamState::Serving, 1, 0);
         let mut incarnation = 1;
         for now_ms in (1_000..60_000_u64).step_by(1_000) {
             let serves = now_ms < drains_at_ms;
@@ -112,21 +112,21 @@
             let counted_ms = now_ms.saturating_sub(age_ms);
             let running = u32::from((starts_at_ms..ends_at_ms).contains(&counted_ms));
             let standing = if serves {
-                Standing::Serving
+                UpstreamState::Serving
             } else {
-                Standing::Draining
+                UpstreamState::Draining
             };
             let mut report = seen(now_ms, standing, running, age_ms);
             if rng.random_ratio(1, 30) {
                 // A new start is told neither epoch nor drain yet, or told the
                 // epoch by an entry that has not yet lost its view.
                 incarnation += 1;
-                report.report.standing = Standing::Serving;
+                report.report.standing = UpstreamState::Serving;
                 report.report.pool_epoch = if rng.random() { EPOCH } else { 0 };
             }
             report.report.incarnation = incarnation;
             let permits = report.report.pool_epoch == EPOCH;
-            if permits && report.report.standing == Standing::Serving {
+            if permits && report.report.standing == UpstreamState::Serving {
                 permitted_until_ms = now_ms + settings.dispatch_lease_ms;
             }
             if rng.random_ratio(7, 10) {
@@ -156,7 +156,7 @@
 fn a_late_report_of_an_earlier_drain_proves_nothing() {
     let mut proof = StopProof::new(EPOCH, DRAIN_INDEX);
     for now_ms in (1_000..30_000).step_by(1_000) {
-        let mut late = seen(now_ms, Standing::Draining, 0, 0);
+        let mut late = seen(now_ms, UpstreamState::Draining, 0, 0);
         late.report.pool_epoch = EPOCH - 1;
         let judged = verdict(&mut proof, now_ms, &observed(late, &[("cut-off", 3, 0)]));
         assert_eq!(judged, Verdict::Silent(vec!["cut-off".into()]));
--- a/tests/maintenance/worlds.rs
+++ b/tests/maintenance/worlds.rs
@@ -6,7 +6,9 @@
 use rand_chacha::rand_core::SeedableRng;
 use rosemarygauge::cmd::measure_waves::{Fate, World, fleet};
 use rosemarygauge::maintenance::{FleetCommand, Selection, WaveKind, WaveSpec, WaveWeights};
-use rosemarygauge::model::{Absence, Duty, InstanceName, PoolName, RackName, Survive};
+use rosemarygauge::model::{
+    Absence, DesiredState, FailureDomain, InstanceName, PoolName, RackName,
+};
 
 use super::recount::{Recount, check};
 
@@ -79,7 +81,7 @@
         7 => {
             let drained = names.iter().find(|n| {
                 let absence = Absence::Operator;
-                world.fleet.instances()[*n].duty == Duty::Draining { absence }
+                world.fleet.instances()[*n].duty == DesiredState::Draining { absence }
             });
             FleetCommand::Undrain {
                 instance: drained.unwrap_or(&instance).clone(),
@@ -129,9 +131,9 @@
         .absent()
         .iter()
         .map(|name| &instances[name].duty);
-    let aside = |duty: &Duty| {
+    let aside = |duty: &DesiredState| {
         let absence = match duty {
-            Duty::Away { absence } => absence,
+            DesiredState::Away { absence } => absence,
             _ => return false,
         };
         matches!(absence, Absence::SetAside { .. })
@@ -161,9 +163,9 @@
     for seed in 0..16 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let survive = if seed % 2 == 0 {
-            Survive::Instance
+            FailureDomain::Instance
         } else {
-            Survive::Rack
+            FailureDomain::Rack
         };
         let mut world = World::new(fleet(50, 5, survive), seed);
         world.draw(30, |_| (MINUTE_MS, 4 * MINUTE_MS));
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -11,8 +11,8 @@
 };
 use rosemarygauge::maintenance::FleetCommand;
 use rosemarygauge::model::{
-    Budget, Capacity, Class, Demand, EntryName, Outcome, Pool, RefusalReason, Service, Standing,
-    Survive, UpstreamReport, ZoneName,
+    Budget, Capacity, Class, Demand, EntryName, FailureDomain, Outcome, Pool, RefusalReason,
+    Service, UpstreamReport, UpstreamState, ZoneName,
 };
 
 /// One entry instance that is its own quorum, and its clock.
@@ -189,7 +189,7 @@
             connections: 64,
         },
         pool_epoch: 1,
-        standing: Standing::Serving,
+        standing: UpstreamState::Serving,
         running: 0,
         usage_age_ms: 0,
     }
@@ -200,7 +200,7 @@
         name: "p".into(),
         budget: Budget {
             min_available: 0,
-            survive: Survive::None,
+            survive: FailureDomain::None,
         },
         services: [("check", Class::Urgent), ("archive", Class::Patient)]
             .map(|(name, class)| Service {
--- a/tests/state/main.rs
+++ b/tests/state/main.rs
@@ -51,7 +51,7 @@
             name: "scoring".into(),
             budget: Budget {
                 min_available: 4,
-                survive: Survive::None,
+                survive: FailureDomain::None,
             },
             services: vec![Service {
                 name: "scoring".into(),
