--- a/src/entry/node/jobs.rs
+++ b/src/entry/node/jobs.rs
@@ -2,7 +2,9 @@
 
 use crate::load::RequestId;
 use crate::model::{Class, DesiredState, Outcome, RefusalReason};
-use crate::state::{Change, Fence, Job, JobId, JobPhase, JobReply, MAX_JOB_PART_BYTES, Reply};
+use crate::state::{
+    Change, Fence, JobId, JobPhase, JobReply, MAX_JOB_PART_BYTES, PatientJob, Reply,
+};
 
 use super::super::open::{Open, Origin};
 use super::super::{CallAnswer, CallId, Effect, JobView};
@@ -87,7 +89,7 @@
         self.offer(now_ms, request, out);
     }
 
-    fn owns(&self, job: &Job) -> bool {
+    fn owns(&self, job: &PatientJob) -> bool {
         matches!(
             &job.phase,
             JobPhase::Assigned { owner, incarnation, .. }
@@ -95,7 +97,7 @@
         )
     }
 
-    fn job_attempt_ms(&self, job: &Job) -> Option<u64> {
+    fn job_attempt_ms(&self, job: &PatientJob) -> Option<u64> {
         let pool = self.state.fleet().carrier(&job.service)?;
         let service = pool.services.iter().find(|s| s.name == job.service)?;
         Some(attempt_ms(service))
@@ -276,7 +278,7 @@
     }
 }
 
-fn job_view(job: &Job) -> JobView {
+fn job_view(job: &PatientJob) -> JobView {
     match &job.phase {
         JobPhase::Ready => JobView::Waiting,
         JobPhase::Assigned { .. } => JobView::Running,
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -33,7 +33,7 @@
 
 /// A patient job: accepted durably, and completed exactly once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Job {
+pub struct PatientJob {
     /// The job's id.
     pub id: JobId,
     /// The caller's key.
@@ -106,7 +106,7 @@
     },
 }
 
-impl Job {
+impl PatientJob {
     /// When it ended, in milliseconds on the state's clock; none before that.
     pub fn ended_ms(&self) -> Option<u64> {
         match self.phase {
--- a/src/state/jobs.rs
+++ b/src/state/jobs.rs
@@ -6,7 +6,7 @@
 
 use super::command_context::CommandContext;
 use super::tombstones::{KeyOutcome, Tombstones};
-use super::{Fence, Job, JobId, JobPhase, JobReply, NewJob, Reply, Trail, TrailEvent};
+use super::{Fence, JobId, JobPhase, JobReply, NewJob, PatientJob, Reply, Trail, TrailEvent};
 
 /// How long an ended job is kept with its answer, in milliseconds: a week, the
 /// period of the weekly report that reads the answers.
@@ -32,9 +32,9 @@
 /// Patient jobs, by id and by the caller's key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Jobs {
-    by_id: BTreeMap<JobId, Job>,
+    by_id: BTreeMap<JobId, PatientJob>,
     by_key: BTreeMap<RequestKey, JobId>,
-    /// Ready jobs by [`Job::order`].
+    /// Ready jobs by [`PatientJob::order`].
     ready: BTreeMap<u64, JobId>,
     assigned: BTreeSet<JobId>,
     /// Ended jobs by the time they ended.
@@ -45,22 +45,22 @@
 
 impl Jobs {
     /// Returns the job with this id, if it is kept.
-    pub fn get(&self, id: &JobId) -> Option<&Job> {
+    pub fn get(&self, id: &JobId) -> Option<&PatientJob> {
         self.by_id.get(id)
     }
 
     /// Returns the job with this key, if it is kept.
-    pub fn get_by_key(&self, key: &RequestKey) -> Option<&Job> {
+    pub fn get_by_key(&self, key: &RequestKey) -> Option<&PatientJob> {
         self.by_id.get(self.by_key.get(key)?)
     }
 
     /// The jobs that wait to be assigned, in the order of their acceptance.
-    pub fn ready(&self) -> impl Iterator<Item = &Job> {
+    pub fn ready(&self) -> impl Iterator<Item = &PatientJob> {
         self.ready.values().filter_map(|id| self.by_id.get(id))
     }
 
     /// The jobs that an entry instance runs.
-    pub fn assigned(&self) -> impl Iterator<Item = &Job> {
+    pub fn assigned(&self) -> impl Iterator<Item = &PatientJob> {
         self.assigned.iter().filter_map(|id| self.by_id.get(id))
     }
 
@@ -122,7 +122,7 @@
         let fence = Fence(1);
         let mut trail = Trail::default();
         trail.push(context.trail_step(fence, TrailEvent::Accepted));
-        let job = Job {
+        let job = PatientJob {
             id: new.job.clone(),
             key: new.key.clone(),
             fingerprint: new.fingerprint,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -37,7 +37,7 @@
 pub use entries::{DEDUP_WINDOW_COMMANDS, EntryState};
 pub use fence::Fence;
 pub use fingerprint::{Fingerprint, scoped_key};
-pub use job::{Job, JobId, JobPhase};
+pub use job::{JobId, JobPhase, PatientJob};
 pub use jobs::{JOB_RETENTION_MS, MAX_JOB_PART_BYTES, MAX_JOBS, MAX_JOBS_BYTES, STATUS_TOO_LARGE};
 pub use reply::{ClaimReply, JobReply, Reply};
 pub use rows::{MAX_REMOVED_ROWS, MAX_ROW_TRAIL_STEPS, RowStep};
--- a/src/state/state.rs
+++ b/src/state/state.rs
@@ -17,8 +17,8 @@
 use super::rows::Rows;
 use super::tombstones::Tombstones;
 use super::{
-    Change, Claim, ClaimReply, Command, EntryState, Fingerprint, Job, JobId, JobReply, NewJob,
-    Reply, RowChange, RowStep,
+    Change, Claim, ClaimReply, Command, EntryState, Fingerprint, JobId, JobReply, NewJob,
+    PatientJob, Reply, RowChange, RowStep,
 };
 
 /// The replicated state, on which all entry instances agree.
@@ -338,22 +338,26 @@
     }
 
     /// Returns the job with this id, if it is kept.
-    pub fn job(&self, id: &JobId) -> Option<&Job> {
+    pub fn job(&self, id: &JobId) -> Option<&PatientJob> {
         self.jobs.get(id)
     }
 
     /// Returns the job with this key, if it is kept.
-    pub fn job_by_key(&self, key: &RequestKey) -> Option<&Job> {
+    pub fn job_by_key(&self, key: &RequestKey) -> Option<&PatientJob> {
         self.jobs.get_by_key(key)
     }
 
     /// The jobs that wait to be assigned, in the order of their acceptance.
-    pub fn ready_jobs(&self) -> impl Iterator<Item = &Job> {
+    pub fn ready_jobs(&self) -> impl Iterator<Item = &PatientJob> {
         self.jobs.ready()
     }
 
     /// The jobs assigned to this incarnation of an entry instance.
-    pub fn jobs_owned(&self, by: &EntryName, incarnation: u64) -> impl Iterator<Item = &Job> {
+    pub fn jobs_owned(
+        &self,
+        by: &EntryName,
+        incarnation: u64,
+    ) -> impl Iterator<Item = &PatientJob> {
         self.jobs
             .assigned()
             .filter(move |job| job.is_owned_by(by, incarnation))
