--- a/src/control/change.rs
+++ b/src/control/change.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Configuration, ConfigurationPart, Report, Wave};
-use crate::jobs::{Ending, JobId, JobSpec, TaskId};
+use crate::jobs::{JobId, JobSpec, RunResult, TaskId};
 use crate::model::{EntryName, InstanceName};
 
 /// An entry of the replicated log: changes that become durable together.
@@ -80,7 +80,7 @@
         /// The worker that it ran on.
         worker: InstanceName,
         /// How it ended.
-        ending: Ending,
+        ending: RunResult,
         /// The saved progress of the task, empty if there is none.
         checkpoint: String,
     },
--- a/src/control/decision.rs
+++ b/src/control/decision.rs
@@ -1,4 +1,4 @@
-use crate::jobs::Ending;
+use crate::jobs::RunResult;
 
 use super::Rejection;
 
@@ -13,7 +13,7 @@
     StartRejected(Rejection),
     /// A run ended.
     #[display("run-{_0}")]
-    RunEnded(Ending),
+    RunEnded(RunResult),
     /// A run was stalled and is restarted.
     #[display("run-stood-still")]
     RunStalled,
--- a/src/control/node/renewals.rs
+++ b/src/control/node/renewals.rs
@@ -9,7 +9,7 @@
 use super::leader_state::Waiter;
 use super::orders::{ORDER_TIMEOUT_MS, SentOrder};
 use super::pass::request_stop;
-use crate::jobs::Ending;
+use crate::jobs::RunResult;
 use crate::model::InstanceName;
 
 /// How long a renewal waits at the worker for a run to end. An end is reported at once. The
@@ -169,9 +169,9 @@
             && link.runs.contains_key(&(end.task, end.attempt))
         {
             match end.ending {
-                Ending::Done => link.run_done(now_ms),
-                Ending::Failed => link.run_failed(now_ms, &self.settings.policy.runs),
-                Ending::Stopped | Ending::Lapsed | Ending::Broken | Ending::Alone => {}
+                RunResult::Done => link.run_done(now_ms),
+                RunResult::Failed => link.run_failed(now_ms, &self.settings.policy.runs),
+                RunResult::Stopped | RunResult::Lapsed | RunResult::Broken | RunResult::Alone => {}
             }
         }
         tracing::info!(
--- a/src/control/order.rs
+++ b/src/control/order.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::jobs::{Ending, TaskId};
+use crate::jobs::{RunResult, TaskId};
 use crate::model::InstanceName;
 
 /// An order from the leader to a worker.
@@ -188,7 +188,7 @@
     /// Attempt of the run.
     pub attempt: u32,
     /// Way in which the run ended.
-    pub ending: Ending,
+    pub ending: RunResult,
     /// Saved progress; empty if there is none.
     pub checkpoint: String,
 }
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -10,7 +10,7 @@
     Worker, WorkersByAddress,
 };
 use crate::codec::CodecError;
-use crate::jobs::{Ending, Job, JobId, JobSpec, JobState, TaskId};
+use crate::jobs::{Job, JobId, JobSpec, JobState, RunResult, TaskId};
 use crate::model::{InstanceName, PoolName};
 
 /// The replicated state: the configuration, the jobs, the known workers and the waves. It is
@@ -295,8 +295,8 @@
     /// Runs that an earlier leader placed are left out: their end was reported only once there
     /// was a leader again. With them, run times seemed five times as long after a change of
     /// leader, and every pool seemed to need all machines.
-    fn record_run_time(&mut self, at_unix_ms: u64, id: TaskId, attempt: u32, ending: Ending) {
-        let Some(job) = self.jobs.get(&id.job).filter(|_| ending == Ending::Done) else {
+    fn record_run_time(&mut self, at_unix_ms: u64, id: TaskId, attempt: u32, ending: RunResult) {
+        let Some(job) = self.jobs.get(&id.job).filter(|_| ending == RunResult::Done) else {
             return;
         };
         let task = job.task(id).filter(|task| task.checkpoint.is_empty());
--- a/src/jobs/ending.rs
+++ b/src/jobs/ending.rs
@@ -3,7 +3,7 @@
 /// The result of a run of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ending {
+pub enum RunResult {
     /// The run completed its work.
     #[display("done")]
     Done,
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Ending, JobId, JobSpec, JobState, Occurrence, Run, Task, TaskId};
+use super::{JobId, JobSpec, JobState, Occurrence, Run, RunResult, Task, TaskId};
 use crate::model::{InstanceName, PoolName};
 
 /// An accepted job and its progress.
@@ -177,7 +177,7 @@
         id: TaskId,
         attempt: u32,
         worker: &InstanceName,
-        ending: Ending,
+        ending: RunResult,
         checkpoint: &str,
     ) -> bool {
         let gang = self
@@ -201,8 +201,8 @@
             task.checkpoint = checkpoint.to_owned();
         }
         match ending {
-            Ending::Done if !lasting => task.done = true,
-            Ending::Failed => {
+            RunResult::Done if !lasting => task.done = true,
+            RunResult::Failed => {
                 task.failures += 1;
                 task.failed_on = Some(worker.clone());
                 if task.failures >= attempts_max && !lasting && !task.done {
@@ -219,13 +219,13 @@
 
     /// Applies the end of one task to its whole gang, whose tasks end and resume
     /// together.
-    fn apply_to_gang(&mut self, id: TaskId, ending: Ending, checkpoint: &str) {
+    fn apply_to_gang(&mut self, id: TaskId, ending: RunResult, checkpoint: &str) {
         let count = self.spec.steps[usize::from(id.step)].tasks;
         for index in 0..count {
             let Some(task) = self.task_mut(TaskId { index, ..id }) else {
                 continue;
             };
-            if ending == Ending::Done {
+            if ending == RunResult::Done {
                 task.done = true;
             }
             if !checkpoint.is_empty() {
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -19,7 +19,7 @@
 mod task;
 mod task_id;
 
-pub use ending::Ending;
+pub use ending::RunResult;
 pub use job::Job;
 pub use job_id::JobId;
 pub use job_state::JobState;
--- a/src/lab/emulator/keeping.rs
+++ b/src/lab/emulator/keeping.rs
@@ -5,7 +5,7 @@
 use crate::control::{
     Event, MachineOrder, MachineOrderKind, MachineOutcome, MachinePhase, OrderOutcome,
 };
-use crate::jobs::Ending;
+use crate::jobs::RunResult;
 
 impl Emulator {
     /// A machine is lost without a word, and is back as another incarnation after a while.
@@ -73,9 +73,9 @@
             return;
         };
         for (task, _) in worker.running.keys() {
-            self.ledger.end(*task, Ending::Lapsed);
+            self.ledger.end(*task, RunResult::Lapsed);
         }
-        for end in worker.ended.iter().filter(|e| e.ending == Ending::Done) {
+        for end in worker.ended.iter().filter(|e| e.ending == RunResult::Done) {
             self.ledger.doubt(end.task);
         }
         if let Some((id, given_up_ms)) = worker.waiting {
--- a/src/lab/emulator/orders.rs
+++ b/src/lab/emulator/orders.rs
@@ -3,7 +3,7 @@
 use super::super::{FakeMachine, MachineState, RuleBreak, RunningTask};
 use super::{Due, Emulator};
 use crate::control::{Event, Order, OrderKind, OrderOutcome, Rejection};
-use crate::jobs::{Ending, TaskId};
+use crate::jobs::{RunResult, TaskId};
 
 impl Emulator {
     pub(super) fn order(&mut self, order: Order) -> Result<(), RuleBreak> {
@@ -37,7 +37,7 @@
                     return Ok(());
                 }
                 OrderKind::Stop { task, attempt } => {
-                    self.end(place, task, attempt, Ending::Stopped);
+                    self.end(place, task, attempt, RunResult::Stopped);
                     self.carried_out()
                 }
                 OrderKind::Throttle { .. } => self.carried_out(),
@@ -114,7 +114,7 @@
         }
     }
 
-    fn end(&mut self, place: usize, task: TaskId, attempt: u32, ending: Ending) {
+    fn end(&mut self, place: usize, task: TaskId, attempt: u32, ending: RunResult) {
         let Some(worker) = self.machines[place].worker_mut() else {
             return;
         };
--- a/src/lab/ledger.rs
+++ b/src/lab/ledger.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 
 use super::{RuleBreak, TaskTruth};
-use crate::jobs::{Ending, JobId, JobSpec, TaskId};
+use crate::jobs::{JobId, JobSpec, RunResult, TaskId};
 
 /// What truly became of every task, and the check of what is promised at each start.
 #[derive(Clone, Debug, Default)]
@@ -35,7 +35,7 @@
     /// How long it takes for a percent.
     pub percent_ms: u64,
     /// How it ends.
-    pub ending: Ending,
+    pub ending: RunResult,
 }
 
 #[derive(Clone, Debug)]
@@ -128,7 +128,7 @@
     }
 
     /// A run ends.
-    pub fn end(&mut self, task: TaskId, ending: Ending) {
+    pub fn end(&mut self, task: TaskId, ending: RunResult) {
         let step = usize::from(task.step);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -136,7 +136,7 @@
         let own = &mut job.tasks[step][usize::from(task.index)];
         own.running = false;
         match ending {
-            Ending::Done => {
+            RunResult::Done => {
                 own.done = Done::Yes;
                 job.left[step] -= 1;
                 let all = job.left.iter().all(|left| *left == 0);
@@ -145,11 +145,11 @@
                     self.settled.insert(task.job);
                 }
             }
-            Ending::Failed => {
+            RunResult::Failed => {
                 own.failures += 1;
                 self.settled.insert(task.job);
             }
-            Ending::Stopped | Ending::Lapsed | Ending::Broken | Ending::Alone => {
+            RunResult::Stopped | RunResult::Lapsed | RunResult::Broken | RunResult::Alone => {
                 self.counts.thrown_away += 1;
             }
         }
--- a/src/lab/running_task.rs
+++ b/src/lab/running_task.rs
@@ -1,4 +1,4 @@
-use crate::jobs::{Ending, Room};
+use crate::jobs::{Room, RunResult};
 
 /// A run on an emulated worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -8,7 +8,7 @@
     /// How long it takes for a percent of its progress.
     pub percent_ms: u64,
     /// How it ends if nobody stops it.
-    pub ending: Ending,
+    pub ending: RunResult,
     /// What it takes of the worker.
     pub demand: Room,
 }
--- a/src/lab/task_truth.rs
+++ b/src/lab/task_truth.rs
@@ -1,4 +1,4 @@
-use crate::jobs::Ending;
+use crate::jobs::RunResult;
 
 /// How a task truly behaves, whatever its caller estimates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,11 +22,11 @@
     }
 
     /// How the run ends that begins after so many failures, and after what time.
-    pub fn next_run(&self, failures: u32) -> (Ending, u64) {
+    pub fn next_run(&self, failures: u32) -> (RunResult, u64) {
         if failures < self.failures {
-            (Ending::Failed, (self.run_ms / 2).max(1))
+            (RunResult::Failed, (self.run_ms / 2).max(1))
         } else {
-            (Ending::Done, self.run_ms)
+            (RunResult::Done, self.run_ms)
         }
     }
 }
--- a/src/lab/worker.rs
+++ b/src/lab/worker.rs
@@ -2,7 +2,7 @@
 
 use super::RunningTask;
 use crate::control::{Ended, OrderOutcome, Running};
-use crate::jobs::{Ending, Room, TaskId};
+use crate::jobs::{Room, RunResult, TaskId};
 use crate::model::InstanceName;
 
 /// An incarnation of a worker: what runs, and ends that stay listed until acknowledged.
@@ -38,7 +38,7 @@
     }
 
     /// Ends a run; `false` if there is none.
-    pub fn end(&mut self, task: TaskId, attempt: u32, ending: Ending) -> bool {
+    pub fn end(&mut self, task: TaskId, attempt: u32, ending: RunResult) -> bool {
         if self.running.remove(&(task, attempt)).is_none() {
             return false;
         }
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -11,7 +11,7 @@
 use super::cell::Cell;
 use super::{Client, ClientError};
 use crate::control::{Ended, Order, OrderKind, OrderOutcome, Rejection, Running};
-use crate::jobs::Ending;
+use crate::jobs::RunResult;
 
 /// Names the incarnation that an order is meant for.
 const INCARNATION_HEADER: &str = "expect-instance";
@@ -227,12 +227,12 @@
 /// A row: number, task, attempt, how it ended, saved progress.
 fn read_ended(row: &Cell<'_>) -> Option<Ended> {
     let ending = match row.get(3)?.as_str()? {
-        "done" => Ending::Done,
-        "failed" => Ending::Failed,
-        "stopped" => Ending::Stopped,
-        "lapsed" => Ending::Lapsed,
-        "broken" => Ending::Broken,
-        "alone" => Ending::Alone,
+        "done" => RunResult::Done,
+        "failed" => RunResult::Failed,
+        "stopped" => RunResult::Stopped,
+        "lapsed" => RunResult::Lapsed,
+        "broken" => RunResult::Broken,
+        "alone" => RunResult::Alone,
         _ => return None,
     };
     Some(Ended {
--- a/tests/control/backlog.rs
+++ b/tests/control/backlog.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rosemarygauge::control::{Change, Scheduler};
-use rosemarygauge::jobs::{Ending, JobId, Step, TaskId};
+use rosemarygauge::jobs::{JobId, RunResult, Step, TaskId};
 
 use crate::pool::Pool;
 use crate::world::{job, step};
@@ -42,9 +42,9 @@
             attempt,
             worker,
             ending: if kind == 5 {
-                Ending::Failed
+                RunResult::Failed
             } else {
-                Ending::Done
+                RunResult::Done
             },
             checkpoint: String::new(),
         },
--- a/tests/control/forecast.rs
+++ b/tests/control/forecast.rs
@@ -7,7 +7,7 @@
     Change, Command, Configuration, Forecast, History, JobSize, Load, NeedsPolicy, OfferedLoad,
     Policy, PoolDemand, State, TurnsPolicy,
 };
-use rosemarygauge::jobs::{Ending, Job, JobId, TaskId};
+use rosemarygauge::jobs::{Job, JobId, RunResult, TaskId};
 
 use crate::world::{configuration, job, queue, step};
 
@@ -229,7 +229,7 @@
         task,
         attempt: 1,
         worker: "i-1".into(),
-        ending: Ending::Done,
+        ending: RunResult::Done,
         checkpoint: String::new(),
     };
     let place = |task| Change::Place {
--- a/tests/control/lapsing.rs
+++ b/tests/control/lapsing.rs
@@ -6,7 +6,7 @@
 use quickcheck::{Arbitrary, Gen};
 use quickcheck_macros::quickcheck;
 use rosemarygauge::control::{Change, Command, State};
-use rosemarygauge::jobs::{Ending, Job, JobId, JobSpec, JobState, Recurrence, Step, TaskId};
+use rosemarygauge::jobs::{Job, JobId, JobSpec, JobState, Recurrence, RunResult, Step, TaskId};
 use rosemarygauge::model::InstanceName;
 
 use crate::world::{configuration, job, step};
@@ -36,7 +36,7 @@
     },
     End {
         run: u8,
-        ending: Ending,
+        ending: RunResult,
     },
     Lapse {
         worker: u8,
@@ -54,7 +54,12 @@
         let job = u8::arbitrary(g) % JOBS;
         let worker = u8::arbitrary(g) % WORKERS;
         let (task, run) = (u8::arbitrary(g), u8::arbitrary(g));
-        let endings = [Ending::Done, Ending::Done, Ending::Failed, Ending::Stopped];
+        let endings = [
+            RunResult::Done,
+            RunResult::Done,
+            RunResult::Failed,
+            RunResult::Stopped,
+        ];
         let ending = *g.choose(&endings).unwrap();
         match u8::arbitrary(g) % 24 {
             0..4 => Self::Accept { job },
--- a/tests/control/leases.rs
+++ b/tests/control/leases.rs
@@ -3,7 +3,7 @@
 use rosemarygauge::control::{
     Change, Command, Ended, Fleet, RunPhase, RunsPolicy, Sizes, State, WorkerLink,
 };
-use rosemarygauge::jobs::{Ending, JobId, TaskId};
+use rosemarygauge::jobs::{JobId, RunResult, TaskId};
 
 use crate::world::{World, address, job, name, step};
 
@@ -112,7 +112,7 @@
             ..task
         },
         attempt: 1,
-        ending: Ending::Done,
+        ending: RunResult::Done,
         checkpoint: String::new(),
     };
     let full: Vec<Ended> = (1..=500).map(end).collect();
--- a/tests/control/scheduler.rs
+++ b/tests/control/scheduler.rs
@@ -230,7 +230,7 @@
         task,
         attempt,
         worker: worker.clone(),
-        ending: rosemarygauge::jobs::Ending::Failed,
+        ending: rosemarygauge::jobs::RunResult::Failed,
         checkpoint: String::new(),
     };
     apply(&mut pool.state, end);
--- a/tests/control/specs.rs
+++ b/tests/control/specs.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use rosemarygauge::jobs::{
-    Ending, Job, JobId, JobSpec, JobState, Recurrence, SpecFault, Step, TaskId,
+    Job, JobId, JobSpec, JobState, Recurrence, RunResult, SpecFault, Step, TaskId,
 };
 
 use crate::world::{job, step};
@@ -100,9 +100,9 @@
     for index in 0..3 {
         assert!(job.place(0, task(0, index), 1, &"i-1".into()));
     }
-    assert!(job.end(task(0, 0), 1, &"i-1".into(), Ending::Broken, "saved"));
+    assert!(job.end(task(0, 0), 1, &"i-1".into(), RunResult::Broken, "saved"));
     assert_eq!(job.task(task(0, 2)).unwrap().checkpoint, "saved");
-    assert!(job.end(task(0, 1), 1, &"i-1".into(), Ending::Done, ""));
+    assert!(job.end(task(0, 1), 1, &"i-1".into(), RunResult::Done, ""));
     job.settle(2_000);
     assert_eq!(job.state(), JobState::Completed);
 }
@@ -143,7 +143,7 @@
     job.create_occurrence(0);
     assert_eq!(job.next_due(), Some((1, 6_000)));
     job.place(0, task(0, 0), 1, &"i".into());
-    job.end(task(0, 0), 1, &"i".into(), Ending::Done, "");
+    job.end(task(0, 0), 1, &"i".into(), RunResult::Done, "");
     job.settle(5_500);
     assert_eq!(job.state(), JobState::Running);
     job.create_occurrence(1);
@@ -152,7 +152,7 @@
         ..task(0, 0)
     };
     job.place(0, second, 1, &"i".into());
-    job.end(second, 1, &"i".into(), Ending::Done, "");
+    job.end(second, 1, &"i".into(), RunResult::Done, "");
     job.settle(6_500);
     assert_eq!(job.state(), JobState::Completed);
 }
@@ -163,8 +163,8 @@
 fn an_end_counts_once() {
     let mut job = accepted(job(vec![step(1)]));
     job.place(0, task(0, 0), 1, &"i-1".into());
-    assert!(job.end(task(0, 0), 1, &"i-1".into(), Ending::Failed, ""));
-    assert!(!job.end(task(0, 0), 1, &"i-1".into(), Ending::Failed, ""));
+    assert!(job.end(task(0, 0), 1, &"i-1".into(), RunResult::Failed, ""));
+    assert!(!job.end(task(0, 0), 1, &"i-1".into(), RunResult::Failed, ""));
     assert_eq!(job.task(task(0, 0)).unwrap().failures, 1);
 }
 
@@ -177,7 +177,7 @@
     let mut job = accepted(spec);
     for attempt in 1..10 {
         assert!(job.place(0, task(0, 0), attempt, &"i-1".into()));
-        assert!(job.end(task(0, 0), attempt, &"i-1".into(), Ending::Failed, ""));
+        assert!(job.end(task(0, 0), attempt, &"i-1".into(), RunResult::Failed, ""));
         job.settle(2_000);
     }
     assert_eq!(job.state(), JobState::Running);
--- a/tests/control/worker.rs
+++ b/tests/control/worker.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use rosemarygauge::control::{Ended, OrderKind, OrderOutcome, Phase, Rejection, Report, Running};
-use rosemarygauge::jobs::{Ending, Room, TaskId};
+use rosemarygauge::jobs::{Room, RunResult, TaskId};
 
 /// Maximum number of ends in a listing; further ends follow once these are acknowledged.
 const ENDS_LISTED_MAX: usize = 500;
@@ -17,7 +17,7 @@
     pub attempt: u32,
     pub since_ms: u64,
     pub ends_ms: u64,
-    pub ending: Ending,
+    pub ending: RunResult,
     pub stopping: bool,
 }
 
@@ -115,15 +115,15 @@
         let lapsed = self.clock_ms(now_ms) >= self.lease_end_ms;
         self.lapses += u64::from(lapsed && !self.lapsed);
         self.lapsed = lapsed;
-        let over: Vec<(TaskId, Ending)> = self
+        let over: Vec<(TaskId, RunResult)> = self
             .going
             .iter()
             .filter_map(|(task, going)| {
                 if lapsed {
-                    Some((*task, Ending::Lapsed))
+                    Some((*task, RunResult::Lapsed))
                 } else if now_ms >= going.ends_ms {
                     let ending = if going.stopping {
-                        Ending::Stopped
+                        RunResult::Stopped
                     } else {
                         going.ending
                     };
@@ -138,9 +138,9 @@
         }
     }
 
-    fn end(&mut self, now_ms: u64, task: TaskId, ending: Ending) {
+    fn end(&mut self, now_ms: u64, task: TaskId, ending: RunResult) {
         let going = self.going.remove(&task).unwrap();
-        if ending == Ending::Done {
+        if ending == RunResult::Done {
             self.done.insert(self.next_end, (task, now_ms, self.lapses));
         }
         self.ended.push(Ended {
@@ -197,9 +197,9 @@
                         now_ms + run_ms
                     },
                     ending: if self.fails_all {
-                        Ending::Failed
+                        RunResult::Failed
                     } else {
-                        Ending::Done
+                        RunResult::Done
                     },
                     stopping: false,
                 };
--- a/tests/control/world/deliveries.rs
+++ b/tests/control/world/deliveries.rs
@@ -5,7 +5,7 @@
     Decision, Effect, Event, Machine, MachineOrder, MachineOrderKind, MachineOutcome, MachinePhase,
     Order, OrderKind, OrderOutcome, PeerMessage, Rejection,
 };
-use rosemarygauge::jobs::{Ending, TaskId};
+use rosemarygauge::jobs::{RunResult, TaskId};
 use rosemarygauge::model::EntryName;
 
 use super::processor::HELD_MS;
@@ -458,7 +458,7 @@
                 );
             }
             Effect::Count(decision) => {
-                self.done += u64::from(decision == Decision::RunEnded(Ending::Done));
+                self.done += u64::from(decision == Decision::RunEnded(RunResult::Done));
                 *self.decisions.entry(decision.to_string()).or_default() += 1;
             }
             Effect::Stopped => self.kill(&from),
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -8,7 +8,7 @@
 use quickcheck::{Arbitrary, Gen, TestResult};
 use quickcheck_macros::quickcheck;
 use rosemarygauge::control::{Effect, Order, OrderKind, Place, Policy};
-use rosemarygauge::jobs::{Ending, JobId, JobSpec, Room, Step, TaskId};
+use rosemarygauge::jobs::{JobId, JobSpec, Room, RunResult, Step, TaskId};
 use rosemarygauge::lab::{
     Demand, Emulator, FakeMachine, FaultsSpec, FleetSpec, Keeper, LeaderLoss, Ledger, Play,
     PoolSpec, QueueSpec, RackLoss, RuleBreak, Spread, StandbySpec, StepSpec, TaskTruth, TurnPace,
@@ -278,7 +278,7 @@
         now_ms,
     };
     assert_eq!(ledger.start(3, first), Err(twice));
-    ledger.end(first, Ending::Done);
+    ledger.end(first, RunResult::Done);
     let after = RuleBreak::AfterDone {
         task: first,
         now_ms,
--- a/tests/platform/formats.rs
+++ b/tests/platform/formats.rs
@@ -1,7 +1,7 @@
 //! Jobs, reports and configurations as the platform writes them.
 
 use rosemarygauge::control::{OrderOutcome, Phase};
-use rosemarygauge::jobs::Ending;
+use rosemarygauge::jobs::RunResult;
 use rosemarygauge::platform::{read_configuration, read_job, read_listing, read_report};
 use serde_json::{Value, json};
 
@@ -131,7 +131,7 @@
     assert_eq!(running[0].checkpoint, "c\n\"1");
     assert_eq!((running[0].gauge, running[1].gauge), (Some(900), None));
     assert_eq!((ended[0].number, ended[0].attempt), (4, 3));
-    assert_eq!(ended[0].ending, Ending::Lapsed);
+    assert_eq!(ended[0].ending, RunResult::Lapsed);
     assert_eq!(ended[0].checkpoint, "c-9");
 }
 
