--- a/src/cmd/measure_lead.rs
+++ b/src/cmd/measure_lead.rs
@@ -17,7 +17,7 @@
 use crate::control::{
     Call, Configuration, Event, Node, NodeSettings, OrderOutcome, Place, Policy, Queue, Timing,
 };
-use crate::jobs::{JobId, JobSpec, Room, Step};
+use crate::jobs::{JobId, JobSpec, Resources, Step};
 use crate::lab::{Emulator, FakeMachine, Keeper, TaskTruth};
 use crate::model::EntryName;
 
@@ -251,7 +251,7 @@
 }
 
 fn machine(place: u16) -> FakeMachine {
-    let room = Room {
+    let room = Resources {
         cpu_milli: 16_000,
         memory_mb: 64_000,
         accelerators: 0,
@@ -278,7 +278,7 @@
 fn step(cpu_milli: u32, estimate_ms: u64, after: Vec<u16>) -> Step {
     Step {
         tasks: 8,
-        demand: Room {
+        demand: Resources {
             cpu_milli,
             memory_mb: 500,
             accelerators: 0,
--- a/src/control/backlog/entry.rs
+++ b/src/control/backlog/entry.rs
@@ -1,5 +1,5 @@
 use super::super::Rank;
-use crate::jobs::{JobId, Room};
+use crate::jobs::{JobId, Resources};
 
 /// A step with waiting tasks; the smallest comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in super::super) struct StepDemand {
     /// Room that each task takes of its worker.
-    pub(in super::super) room: Room,
+    pub(in super::super) room: Resources,
     /// Processor demand of all of them together, in thousandths of a core.
     pub(in super::super) cpu_milli: u64,
 }
--- a/src/control/candidate.rs
+++ b/src/control/candidate.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 
 use super::PlacementPolicy;
-use crate::jobs::{Room, Step};
+use crate::jobs::{Resources, Step};
 use crate::model::InstanceName;
 
 /// A worker that takes work, with the room that is left on it in the current pass.
@@ -11,8 +11,8 @@
     pub(super) rack: Option<&'a str>,
     pub(super) labels: &'a [String],
     /// Its capacity without the room that lasting tasks hold.
-    pub(super) transient_room: Room,
-    pub(super) free: Room,
+    pub(super) transient_room: Resources,
+    pub(super) free: Resources,
     pub(super) serving: u32,
     pub(super) best_effort: u32,
     pub(super) upkeep_due: bool,
@@ -50,14 +50,14 @@
         self.tasks_that_fit_in(&self.free, step)
     }
 
-    fn tasks_that_fit_in(&self, room: &Room, step: &Step) -> usize {
+    fn tasks_that_fit_in(&self, room: &Resources, step: &Step) -> usize {
         if !self.meets_constraints(step) {
             return 0;
         }
         let most = step.per_worker_max.map_or(u32::MAX, |max| {
             u32::from(max.saturating_sub(self.step_runs))
         });
-        room.times_holds(&step.reserved()).min(most) as usize
+        room.count_fitting(&step.reserved()).min(most) as usize
     }
 
     /// Returns the cost of placing a task of the step here; the lowest cost wins.
@@ -95,7 +95,7 @@
     }
 
     pub(super) fn reserve(&mut self, step: &Step) {
-        self.free = self.free.less(&step.reserved());
+        self.free = self.free.saturating_sub(&step.reserved());
         self.best_effort += u32::from(step.best_effort);
         self.serving += u32::from(step.tail_target_ms.is_some() && !step.best_effort);
     }
--- a/src/control/load.rs
+++ b/src/control/load.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-use crate::jobs::Room;
+use crate::jobs::Resources;
 
 /// Average amounts of resources in use or in demand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -55,8 +55,8 @@
     }
 }
 
-impl From<&Room> for Load {
-    fn from(room: &Room) -> Self {
+impl From<&Resources> for Load {
+    fn from(room: &Resources) -> Self {
         Self {
             cores: room.cores(),
             memory_mb: f64::from(room.memory_mb),
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -189,7 +189,7 @@
                 break;
             };
             self.looked += 1;
-            if !pass.largest.holds(&demand.room) {
+            if !pass.largest.fits(&demand.room) {
                 pass.record_miss(world.policy);
                 continue;
             }
@@ -245,8 +245,8 @@
                 name,
                 rack: worker.report.rack.as_ref().map(|r| r.as_str()),
                 labels: &worker.report.labels,
-                transient_room: worker.report.capacity.less(&used.lasting_room()),
-                free: worker.report.capacity.less(&used.reserved),
+                transient_room: worker.report.capacity.saturating_sub(&used.lasting_room()),
+                free: worker.report.capacity.saturating_sub(&used.reserved),
                 serving: used.serving,
                 best_effort: used.best_effort,
                 upkeep_due: self.upkeep_due.contains(name),
@@ -290,7 +290,7 @@
         self.looked += 1;
         let step = &pending.job.spec.steps[pending.step];
         let demand = step.reserved();
-        if !pool.iter().any(|c| c.free.holds(&demand)) {
+        if !pool.iter().any(|c| c.free.fits(&demand)) {
             return Vec::new();
         }
         let advised = queue.is_some_and(|q| q.advice.is_some());
@@ -321,7 +321,7 @@
             }
         };
         let may_take = |c: &Candidate| {
-            c.free.holds(&demand)
+            c.free.fits(&demand)
                 && c.meets_constraints(step)
                 && may_run(c)
                 && (!step.gang || rack.is_none() || c.rack == rack.as_deref())
--- a/src/control/pool_pass.rs
+++ b/src/control/pool_pass.rs
@@ -1,7 +1,7 @@
 use super::backlog::{Entry, PoolBacklog, RankedSteps};
 use super::candidate::Candidate;
 use super::{Policy, SizeShares};
-use crate::jobs::Room;
+use crate::jobs::Resources;
 use crate::model::PoolName;
 
 /// Number of consecutive steps without room after which a pass stops searching a pool. It
@@ -17,7 +17,7 @@
     pub(super) steps: RankedSteps<'a>,
     pub(super) candidates: Vec<Candidate<'a>>,
     /// The largest free amount of each resource among the candidates.
-    pub(super) largest: Room,
+    pub(super) largest: Resources,
     /// Consecutive steps that found no room.
     pub(super) misses: usize,
     pub(super) stage: Stage,
@@ -49,7 +49,7 @@
             running,
             steps: RankedSteps::new(backlog, running, &policy.order),
             candidates,
-            largest: Room::default(),
+            largest: Resources::default(),
             misses: 0,
             stage: Stage::FromStart,
         };
@@ -60,7 +60,7 @@
     /// Recomputes `largest` from the free room of the candidates.
     pub(super) fn update_largest(&mut self) {
         let rooms = self.candidates.iter().map(|c| c.free);
-        self.largest = rooms.fold(Room::default(), |most, free| Room {
+        self.largest = rooms.fold(Resources::default(), |most, free| Resources {
             cpu_milli: most.cpu_milli.max(free.cpu_milli),
             memory_mb: most.memory_mb.max(free.memory_mb),
             accelerators: most.accelerators.max(free.accelerators),
--- a/src/control/report.rs
+++ b/src/control/report.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-use crate::jobs::Room;
+use crate::jobs::Resources;
 use crate::model::{InstanceName, PoolName, RackName, ZoneName};
 
 /// A worker's report about itself.
@@ -21,7 +21,7 @@
     /// Labels that steps may ask for.
     pub labels: Vec<String>,
     /// Total room for tasks.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Whether the worker takes work or drains.
     pub phase: Phase,
     /// Sequence number, which rises with each report of an incarnation.
--- a/src/control/runs.rs
+++ b/src/control/runs.rs
@@ -3,7 +3,7 @@
 use derive_more::Deref;
 
 use super::RunView;
-use crate::jobs::{Room, Step, TaskId};
+use crate::jobs::{Resources, Step, TaskId};
 
 /// The runs that the replicated state has on a worker, with the sum of their loads.
 ///
@@ -20,9 +20,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunLoad {
     /// Room that is reserved.
-    pub reserved: Room,
+    pub reserved: Resources,
     /// The part of `reserved` that tasks hold which are not lasting.
-    pub passing: Room,
+    pub passing: Resources,
     /// Number of runs of lasting tasks.
     pub lasting: u32,
     /// Number of best-effort runs, which only get what others leave.
@@ -41,7 +41,7 @@
         Self {
             reserved: step.reserved(),
             passing: match step.lasting {
-                true => Room::default(),
+                true => Resources::default(),
                 false => step.reserved(),
             },
             lasting: u32::from(step.lasting),
@@ -52,8 +52,8 @@
     }
 
     /// Returns the room that lasting tasks hold.
-    pub fn lasting_room(&self) -> Room {
-        self.reserved.less(&self.passing)
+    pub fn lasting_room(&self) -> Resources {
+        self.reserved.saturating_sub(&self.passing)
     }
 
     /// Returns the sum of both loads.
@@ -67,7 +67,7 @@
     }
 
     fn combine(&self, other: &Self, by: fn(u32, u32) -> u32, wide: fn(u64, u64) -> u64) -> Self {
-        let room = |own: &Room, other: &Room| Room {
+        let room = |own: &Resources, other: &Resources| Resources {
             cpu_milli: by(own.cpu_milli, other.cpu_milli),
             memory_mb: by(own.memory_mb, other.memory_mb),
             accelerators: by(own.accelerators, other.accelerators),
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -25,7 +25,7 @@
 pub use job_state::JobState;
 pub use occurrence::Occurrence;
 pub use recurrence::Recurrence;
-pub use room::Room;
+pub use room::Resources;
 pub use run::Run;
 pub use spec::{JobSpec, PAYLOAD_LIMIT_BYTES};
 pub use spec_fault::SpecFault;
--- a/src/jobs/room.rs
+++ b/src/jobs/room.rs
@@ -2,7 +2,7 @@
 
 /// The resources that a task requests or a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     /// Processor, in thousandths of a core.
     pub cpu_milli: u32,
     /// Memory, in mebibytes.
@@ -11,14 +11,14 @@
     pub accelerators: u32,
 }
 
-impl Room {
+impl Resources {
     /// The processor, in cores.
     pub fn cores(&self) -> f64 {
         f64::from(self.cpu_milli) / 1_000.0
     }
 
     /// Whether `other` fits in these resources.
-    pub fn holds(&self, other: &Self) -> bool {
+    pub fn fits(&self, other: &Self) -> bool {
         other.cpu_milli <= self.cpu_milli
             && other.memory_mb <= self.memory_mb
             && other.accelerators <= self.accelerators
@@ -26,7 +26,7 @@
 
     /// How many times `other` fits in these resources; [`u32::MAX`] if `other` is
     /// zero.
-    pub fn times_holds(&self, other: &Self) -> u32 {
+    pub fn count_fitting(&self, other: &Self) -> u32 {
         let quotient = |own: u32, other: u32| own.checked_div(other).unwrap_or(u32::MAX);
         quotient(self.cpu_milli, other.cpu_milli)
             .min(quotient(self.memory_mb, other.memory_mb))
@@ -34,7 +34,7 @@
     }
 
     /// Returns the difference to `other`, at least zero each.
-    pub fn less(&self, other: &Self) -> Self {
+    pub fn saturating_sub(&self, other: &Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
             memory_mb: self.memory_mb.saturating_sub(other.memory_mb),
@@ -43,7 +43,7 @@
     }
 
     /// Returns the sum with `other`.
-    pub fn plus(&self, other: &Self) -> Self {
+    pub fn saturating_add(&self, other: &Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli.saturating_add(other.cpu_milli),
             memory_mb: self.memory_mb.saturating_add(other.memory_mb),
--- a/src/jobs/step.rs
+++ b/src/jobs/step.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-use super::Room;
+use super::Resources;
 
 /// A step of a job: a number of tasks with the same requirements.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -8,7 +8,7 @@
     /// The number of tasks.
     pub tasks: u16,
     /// The resources that each task requests.
-    pub demand: Room,
+    pub demand: Resources,
     /// The caller's rough estimate of a task's run time, in milliseconds.
     pub estimate_ms: u64,
     /// Indexes of the earlier steps whose tasks must all be done first.
@@ -42,8 +42,8 @@
 impl Step {
     /// The resources that a task reserves on a worker; a best-effort task reserves no
     /// processor.
-    pub fn reserved(&self) -> Room {
-        Room {
+    pub fn reserved(&self) -> Resources {
+        Resources {
             cpu_milli: if self.best_effort {
                 0
             } else {
--- a/src/lab/arrivals.rs
+++ b/src/lab/arrivals.rs
@@ -4,7 +4,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::{Arrival, Demand, QueueSpec, TaskTruth, TurnPace, Workload};
-use crate::jobs::{JobSpec, Room, Step};
+use crate::jobs::{JobSpec, Resources, Step};
 
 /// A task fails at most so often, however many of all runs fail.
 const FAILURES_MAX: u32 = 50;
@@ -102,7 +102,7 @@
         let factor = spec.estimate_factor.draw(&mut self.rng);
         let steps = spec.steps.iter().enumerate().map(|(place, step)| Step {
             tasks: step.tasks,
-            demand: Room {
+            demand: Resources {
                 cpu_milli: step.cpu_milli,
                 memory_mb: step.memory_mb,
                 accelerators: 0,
--- a/src/lab/emulator/orders.rs
+++ b/src/lab/emulator/orders.rs
@@ -75,7 +75,7 @@
         };
         worker.running.insert((task, attempt), running);
         let used = worker.used();
-        if !self.machines[place].capacity.holds(&used) {
+        if !self.machines[place].capacity.fits(&used) {
             return Err(RuleBreak::Capacity { task, now_ms });
         }
         self.schedule(run.takes_ms, Due::Ends(place, task, attempt));
--- a/src/lab/machine.rs
+++ b/src/lab/machine.rs
@@ -2,7 +2,7 @@
 
 use super::FakeWorker;
 use crate::control::{Machine, MachinePhase, Phase, Report};
-use crate::jobs::Room;
+use crate::jobs::Resources;
 use crate::model::{InstanceName, PoolName, RackName, ZoneName};
 
 /// Machines are told apart by their ports.
@@ -20,7 +20,7 @@
     /// Its rack.
     pub rack: RackName,
     /// All its room.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// What it does.
     pub state: MachineState,
     /// Workers that it had so far.
@@ -40,7 +40,13 @@
 
 impl FakeMachine {
     /// One that is off.
-    pub fn off(place: u16, pool: PoolName, zone: ZoneName, rack: RackName, room: Room) -> Self {
+    pub fn off(
+        place: u16,
+        pool: PoolName,
+        zone: ZoneName,
+        rack: RackName,
+        room: Resources,
+    ) -> Self {
         Self {
             place,
             pool,
--- a/src/lab/running_task.rs
+++ b/src/lab/running_task.rs
@@ -1,4 +1,4 @@
-use crate::jobs::{Room, RunResult};
+use crate::jobs::{Resources, RunResult};
 
 /// A run on an emulated worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -10,7 +10,7 @@
     /// How it ends if nobody stops it.
     pub ending: RunResult,
     /// What it takes of the worker.
-    pub demand: Room,
+    pub demand: Resources,
 }
 
 impl RunningTask {
--- a/src/lab/worker.rs
+++ b/src/lab/worker.rs
@@ -2,7 +2,7 @@
 
 use super::RunningTask;
 use crate::control::{Ended, OrderOutcome, Running};
-use crate::jobs::{Room, RunResult, TaskId};
+use crate::jobs::{Resources, RunResult, TaskId};
 use crate::model::InstanceName;
 
 /// An incarnation of a worker: what runs, and ends that stay listed until acknowledged.
@@ -32,9 +32,11 @@
     }
 
     /// What all runs take together.
-    pub fn used(&self) -> Room {
+    pub fn used(&self) -> Resources {
         let runs = self.running.values();
-        runs.fold(Room::default(), |used, run| used.plus(&run.demand))
+        runs.fold(Resources::default(), |used, run| {
+            used.saturating_add(&run.demand)
+        })
     }
 
     /// Ends a run; `false` if there is none.
--- a/src/lab/workload/check.rs
+++ b/src/lab/workload/check.rs
@@ -4,7 +4,7 @@
 
 use super::super::{Spread, WorkloadFault};
 use super::{Demand, QueueSpec, Workload};
-use crate::jobs::Room;
+use crate::jobs::Resources;
 
 /// The longest play.
 const PLAY_MAX_S: f64 = 3_600.0;
@@ -96,13 +96,13 @@
             check.range(&format!("{at}.tasks"), step.tasks.into(), 1.0, 1_000.0);
             check.range(&format!("{at}.cpu_milli"), step.cpu_milli.into(), 1.0, 1e6);
             check.time(&format!("{at}.run_ms"), step.run_ms);
-            let room = |cpu_milli, memory_mb| Room {
+            let room = |cpu_milli, memory_mb| Resources {
                 cpu_milli,
                 memory_mb,
                 accelerators: 0,
             };
             let machine = room(self.fleet.cpu_milli, self.fleet.memory_mb);
-            if !machine.holds(&room(step.cpu_milli, step.memory_mb)) {
+            if !machine.fits(&room(step.cpu_milli, step.memory_mb)) {
                 check.found.push(WorkloadFault::TooLarge { field: at });
             }
         }
--- a/src/lab/workload/fleet.rs
+++ b/src/lab/workload/fleet.rs
@@ -1,7 +1,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::super::FakeMachine;
-use crate::jobs::Room;
+use crate::jobs::Resources;
 
 /// The machines of a play.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -54,7 +54,7 @@
 
     /// All machines, pool after pool, those in standby last.
     pub fn machines(&self) -> Vec<FakeMachine> {
-        let room = Room {
+        let room = Resources {
             cpu_milli: self.cpu_milli,
             memory_mb: self.memory_mb,
             accelerators: 0,
--- a/src/platform/jobs.rs
+++ b/src/platform/jobs.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-use crate::jobs::{JobSpec, Recurrence, Room, Step};
+use crate::jobs::{JobSpec, Recurrence, Resources, Step};
 
 /// A job; fields that are 0, false or empty are left out on the wire.
 #[derive(Deserialize)]
@@ -84,7 +84,7 @@
     let text = |text: String| (!text.is_empty()).then_some(text);
     Step {
         tasks: wire.count,
-        demand: Room {
+        demand: Resources {
             cpu_milli: wire.cpu,
             memory_mb: wire.mem_mb,
             accelerators: wire.gpu,
--- a/src/platform/reports.rs
+++ b/src/platform/reports.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 
 use crate::control::{Phase, Report};
-use crate::jobs::Room;
+use crate::jobs::Resources;
 use crate::model::InstanceName;
 
 #[derive(Deserialize)]
@@ -56,7 +56,7 @@
         zone: wire.zone.into(),
         rack: rack.map(Into::into),
         labels: wire.labels,
-        capacity: Room {
+        capacity: Resources {
             cpu_milli: wire.capacity.cpu,
             memory_mb: wire.capacity.mem_mb,
             accelerators: wire.capacity.gpu,
--- a/tests/control/worker.rs
+++ b/tests/control/worker.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use rosemarygauge::control::{Ended, OrderKind, OrderOutcome, Phase, Rejection, Report, Running};
-use rosemarygauge::jobs::{Room, RunResult, TaskId};
+use rosemarygauge::jobs::{Resources, RunResult, TaskId};
 
 /// Maximum number of ends in a listing; further ends follow once these are acknowledged.
 const ENDS_LISTED_MAX: usize = 500;
@@ -100,7 +100,7 @@
             zone: "a".into(),
             rack: Some("r1".into()),
             labels: vec!["a".into(), "r1".into()],
-            capacity: Room {
+            capacity: Resources {
                 cpu_milli: 16_000,
                 memory_mb: 64_000,
                 accelerators: 0,
--- a/tests/control/world/samples.rs
+++ b/tests/control/world/samples.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use rosemarygauge::control::{Configuration, Queue};
-use rosemarygauge::jobs::{JobSpec, Room, Step};
+use rosemarygauge::jobs::{JobSpec, Resources, Step};
 
 pub fn queue(name: &str, pool: &str) -> Queue {
     Queue {
@@ -36,7 +36,7 @@
 pub fn step(tasks: u16) -> Step {
     Step {
         tasks,
-        demand: Room {
+        demand: Resources {
             cpu_milli: 1_000,
             memory_mb: 1_000,
             accelerators: 0,
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -8,7 +8,7 @@
 use quickcheck::{Arbitrary, Gen, TestResult};
 use quickcheck_macros::quickcheck;
 use rosemarygauge::control::{Effect, Order, OrderKind, Place, Policy};
-use rosemarygauge::jobs::{JobId, JobSpec, Room, RunResult, Step, TaskId};
+use rosemarygauge::jobs::{JobId, JobSpec, Resources, RunResult, Step, TaskId};
 use rosemarygauge::lab::{
     Demand, Emulator, FakeMachine, FaultsSpec, FleetSpec, Keeper, LeaderLoss, Ledger, Play,
     PoolSpec, QueueSpec, RackLoss, RuleBreak, Spread, StandbySpec, StepSpec, TaskTruth, TurnPace,
@@ -245,7 +245,7 @@
 fn job() -> (Arc<JobSpec>, Vec<Vec<TaskTruth>>) {
     let step = |after| Step {
         tasks: 2,
-        demand: Room {
+        demand: Resources {
             cpu_milli: 1_000,
             memory_mb: 100,
             accelerators: 0,
@@ -297,7 +297,7 @@
 
 #[test]
 fn a_start_without_room_is_seen() {
-    let room = Room {
+    let room = Resources {
         cpu_milli: 1_000,
         memory_mb: 1_000,
         accelerators: 0,
