--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -121,7 +121,7 @@
     stopping_since_ms: Option<u64>,
     /// Run time estimates that are used if the policy turns learning off.
     default_estimates: Estimates,
-    looked: u64,
+    visited: u64,
     out: Vec<Effect>,
 }
 
@@ -150,7 +150,7 @@
             next_voter_check_ms: now_ms,
             stopping_since_ms: None,
             default_estimates: Estimates::default(),
-            looked: 0,
+            visited: 0,
             out: Vec::new(),
         }
     }
@@ -191,8 +191,8 @@
     /// jobs, waiting steps and each search for room. The cost of the scans grows with this
     /// number. The work for each worker and its runs is a small part of it and does not
     /// grow with the backlog.
-    pub fn looked(&self) -> u64 {
-        self.looked
+    pub fn visited(&self) -> u64 {
+        self.visited
     }
 
     /// Returns whether this instance leads with the support of a quorum.
--- a/src/control/node/machines.rs
+++ b/src/control/node/machines.rs
@@ -138,7 +138,7 @@
             true => history.estimates(),
             false => &self.default_estimates,
         };
-        self.looked += self.state.active_count() as u64;
+        self.visited += self.state.active_count() as u64;
         let demand = demand(
             now_ms,
             now_unix_ms,
--- a/src/control/node/pass.rs
+++ b/src/control/node/pass.rs
@@ -52,7 +52,7 @@
             lead.scheduler.upkeep_due = Upkeep::due_workers(&self.state);
             starts = lead.scheduler.pass(now_ms, &world, starts_max);
         }
-        self.looked += std::mem::take(&mut lead.scheduler.looked);
+        self.visited += std::mem::take(&mut lead.scheduler.visited);
         // Tasks that found no free start slot are considered again in the next pass.
         lead.dirty = starts.len() >= starts_max;
         for start in starts {
@@ -63,7 +63,7 @@
             };
             lead.pending.add(change, Some(Waiter::Place(start)));
         }
-        self.looked += lead.recurring.len() as u64;
+        self.visited += lead.recurring.len() as u64;
         for job in changed {
             lead.update_after_change(now_ms, &self.state, job);
         }
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -70,7 +70,7 @@
     rotation: usize,
     /// Number of items visited by passes (jobs, waiting steps and searches for a worker),
     /// as a measure of the processor time spent.
-    pub(super) looked: u64,
+    pub(super) visited: u64,
 }
 
 /// The advisor's decision about a worker for a step.
@@ -103,7 +103,7 @@
             sizes: &self.sizes,
         };
         let visited = self.backlog.refresh(now_unix_ms, &world);
-        self.looked += visited.len() as u64;
+        self.visited += visited.len() as u64;
         visited
     }
 
@@ -188,7 +188,7 @@
                 pass.stage = Stage::Exhausted;
                 break;
             };
-            self.looked += 1;
+            self.visited += 1;
             if !pass.largest.fits(&demand.room) {
                 pass.record_miss(world.policy);
                 continue;
@@ -287,7 +287,7 @@
         starts_left: usize,
         policy: &PlacementPolicy,
     ) -> Vec<Placement> {
-        self.looked += 1;
+        self.visited += 1;
         let step = &pending.job.spec.steps[pending.step];
         let demand = step.reserved();
         if !pool.iter().any(|c| c.free.fits(&demand)) {
@@ -344,7 +344,7 @@
         let gang_attempt = pending.next_gang_attempt();
         let mut starts = Vec::new();
         for index in waiting.iter().take(starts_left) {
-            self.looked += 1;
+            self.visited += 1;
             let task = pending.task(*index);
             let state = pending.occurrence.task(task.step, *index);
             let avoid = state.and_then(|t| t.failed_on.as_ref());
--- a/tests/control/overload.rs
+++ b/tests/control/overload.rs
@@ -312,7 +312,7 @@
     }
     world.run_ms(2_000);
     let leader = world.leader().unwrap();
-    let before = world.looked(&leader);
+    let before = world.visited(&leader);
     for id in 0..MEASURE_MS / 50 {
         world.submit(1, "long", 10_000 + id, job(vec![step(4)]));
         world.run_ms(50);
@@ -321,7 +321,7 @@
     let running = world.workers.values().filter(|w| w.pool == "east");
     let running: usize = running.map(|w| w.going.len()).sum();
     assert_eq!(running, 64, "the pool is full");
-    world.looked(&leader) - before
+    world.visited(&leader) - before
 }
 
 /// A job in a pool with free workers does not start while another pool is busy. All pools
@@ -397,12 +397,12 @@
     }
     world.run_ms(1_000);
     let leader = world.leader().unwrap();
-    let before = world.looked(&leader);
+    let before = world.visited(&leader);
     for id in 0..MEASURE_MS / 50 {
         world.submit(1, "long", 10_000 + id, job(vec![step(1)]));
         world.run_ms(50);
     }
-    world.looked(&leader) - before
+    world.visited(&leader) - before
 }
 
 /// A caller cancels hundreds of running jobs. If the leader orders all their tasks to stop in
--- a/tests/control/world/processor.rs
+++ b/tests/control/world/processor.rs
@@ -170,8 +170,8 @@
     }
 
     /// The things that an instance's recurring looks walked over.
-    pub fn looked(&self, at: &EntryName) -> u64 {
-        self.controls[at].node.as_ref().map_or(0, |n| n.looked())
+    pub fn visited(&self, at: &EntryName) -> u64 {
+        self.controls[at].node.as_ref().map_or(0, |n| n.visited())
     }
 
     /// A process that starts has nothing to do yet.
@@ -208,9 +208,9 @@
         };
         let ticks = matches!(event, Event::Tick);
         let mut worked_us = cost_us(&event);
-        let before = self.looked(at);
+        let before = self.visited(at);
         let effects = self.decide(at, at_us / 1_000, event);
-        worked_us += (self.looked(at) - before) * self.look_us.unwrap_or(0);
+        worked_us += (self.visited(at) - before) * self.look_us.unwrap_or(0);
         let orders = effects.iter().filter(|e| matches!(e, Effect::Order(_)));
         worked_us += orders.count() as u64 * ORDER_US;
         let Some(processor) = self.processors.get_mut(at) else {
