--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -12,8 +12,8 @@
 use tokio::task::yield_now;
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-use super::desk::{Board, Desk, Incoming};
-use super::steady::steady_ms;
+use super::boottime::boottime_ms;
+use super::desk::{Desk, Incoming, ListenerStatus};
 use super::{
     Effect, Event, EventKind, Gateway, GatewayEffect, LoopMeter, Machine, MachineOrder,
     MachineOutcome, Node, Order, OrderOutcome, PeerMessage, WallClock,
@@ -42,27 +42,27 @@
 const STOP_RESERVE_MS: u64 = 700;
 
 /// A boxed future that runs on the process's single thread.
-pub type Local<T> = Pin<Box<dyn Future<Output = T>>>;
+pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// Access to external systems: the workers, the machine manager and the advisor.
-pub trait Outside {
+pub trait ExternalSystems {
     /// Sends an order to a worker. The order counts as sent when this is called, not when
     /// the future is first polled: from then on [`Self::abort_orders`] affects it.
-    fn order(&self, order: Order) -> Local<OrderOutcome>;
+    fn order(&self, order: Order) -> LocalFuture<OrderOutcome>;
     /// Sends an order to the machine manager. It also counts as sent when this is called.
-    fn order_machine(&self, order: MachineOrder) -> Local<MachineOutcome>;
+    fn order_machine(&self, order: MachineOrder) -> LocalFuture<MachineOutcome>;
     /// Aborts every order without an answer, including those that are delayed on the
     /// network.
     fn abort_orders(&self);
     /// Requests the list of all machines from the machine manager.
-    fn list_machines(&self) -> Local<Option<Vec<Machine>>>;
+    fn list_machines(&self) -> LocalFuture<Option<Vec<Machine>>>;
     /// Asks the advisor which workers may run a step.
     fn advise(
         &self,
         step: TaskId,
         workers: Vec<InstanceName>,
         timeout_ms: u64,
-    ) -> Local<Option<Vec<(InstanceName, String)>>>;
+    ) -> LocalFuture<Option<Vec<(InstanceName, String)>>>;
 }
 
 /// The sending side of the links to other instances.
@@ -128,7 +128,7 @@
             calls,
             signals,
             links,
-            last_batch_ms: steady_ms(),
+            last_batch_ms: boottime_ms(),
         }
     }
 
@@ -140,8 +140,8 @@
     pub async fn run_control(
         mut self,
         mut node: Node,
-        disk: Sender<storage::Job>,
-        outside: Rc<dyn Outside>,
+        disk: Sender<storage::WriteJob>,
+        outside: Rc<dyn ExternalSystems>,
         wall: WallClock,
     ) -> Result<(), StorageError> {
         let (completions, mut outcomes) = unbounded_channel();
@@ -164,8 +164,8 @@
                 else => return Ok(()),
             };
             meter.record_queue_length(self.signals.len() + outcomes.len() + self.calls.len());
-            if steady_ms() > self.last_batch_ms + STALL_THRESHOLD_MS {
-                let effects = node.handle(steady_ms(), Event::Tick);
+            if boottime_ms() > self.last_batch_ms + STALL_THRESHOLD_MS {
+                let effects = node.handle(boottime_ms(), Event::Tick);
                 self.carry_out(effects, &disk, &outside, &completions);
             }
             let batch_began = Instant::now();
@@ -173,7 +173,7 @@
             while let Some(next) = event.take() {
                 let kind = EventKind::from(&next);
                 let began = Instant::now();
-                let effects = node.handle(steady_ms(), next);
+                let effects = node.handle(boottime_ms(), next);
                 let decided = Instant::now();
                 meter.record_event(kind, decided - began);
                 if self.carry_out(effects, &disk, &outside, &completions) {
@@ -186,7 +186,7 @@
                     event = self.next_queued(&mut queue, &mut outcomes)?;
                 }
             }
-            let now_ms = steady_ms();
+            let now_ms = boottime_ms();
             self.last_batch_ms = now_ms;
             if now_ms >= next_clock_check_ms {
                 next_clock_check_ms = now_ms + CLOCK_CHECK_INTERVAL_MS;
@@ -195,7 +195,7 @@
             let leads = node.leads(now_ms);
             let leaderless = Duration::from_millis(node.leaderless_ms(now_ms));
             self.desk.metrics().set_leaderless(leaderless.as_secs_f64());
-            self.desk.show(Board {
+            self.desk.show(ListenerStatus {
                 report_places: node.report_places(now_ms),
                 ready: leads,
             });
@@ -239,8 +239,8 @@
     fn carry_out(
         &self,
         effects: Vec<Effect>,
-        disk: &Sender<storage::Job>,
-        outside: &Rc<dyn Outside>,
+        disk: &Sender<storage::WriteJob>,
+        outside: &Rc<dyn ExternalSystems>,
         completions: &UnboundedSender<Event>,
     ) -> bool {
         let mut stopped = false;
@@ -249,7 +249,7 @@
                 Effect::Answer { id, answer } => self.desk.answer(id, answer),
                 Effect::Send { to, message } => self.links.send(&to, &message),
                 Effect::Persist { token, records } => {
-                    if disk.send(storage::Job { token, records }).is_err() {
+                    if disk.send(storage::WriteJob { token, records }).is_err() {
                         tracing::error!("disk: the writer thread has ended");
                     }
                 }
@@ -302,10 +302,10 @@
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut stop_by_ms = None;
         loop {
-            let now_ms = steady_ms();
+            let now_ms = boottime_ms();
             let effects = tokio::select! {
                 Some(signal) = self.signals.recv() => match signal {
-                    Signal::Peer(from, message) => gateway.handle_message(steady_ms(), &from, message),
+                    Signal::Peer(from, message) => gateway.handle_message(boottime_ms(), &from, message),
                     Signal::Found(members) => {
                         gateway.add_seeds(members);
                         Vec::new()
@@ -318,10 +318,10 @@
                     Signal::Persisted(_) | Signal::DiskFailed(_) => Vec::new(),
                 },
                 Some(call) = self.calls.recv() => {
-                    let now_ms = steady_ms();
+                    let now_ms = boottime_ms();
                     gateway.add_call(now_ms, call.id, call.call, now_ms + call.patience_ms)
                 }
-                _ = tick.tick() => gateway.tick(steady_ms()),
+                _ = tick.tick() => gateway.tick(boottime_ms()),
                 else => return,
             };
             for effect in effects {
@@ -330,8 +330,8 @@
                     GatewayEffect::Send { to, message } => self.links.send(&to, &message),
                 }
             }
-            let now_ms = steady_ms();
-            self.desk.show(Board {
+            let now_ms = boottime_ms();
+            self.desk.show(ListenerStatus {
                 report_places: Vec::new(),
                 ready: stop_by_ms.is_none() && gateway.is_ready(now_ms),
             });
@@ -345,7 +345,7 @@
 
 fn spawn_with_event<T: 'static>(
     completions: &UnboundedSender<Event>,
-    work: Local<T>,
+    work: LocalFuture<T>,
     event: impl FnOnce(T) -> Event + 'static,
 ) {
     let completions = completions.clone();
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -38,7 +38,7 @@
 
 /// The input of a scheduling pass.
 #[derive(Clone, Copy, Debug)]
-pub struct SchedulerWorld<'a> {
+pub struct SchedulerInput<'a> {
     /// The replicated state.
     pub state: &'a State,
     /// The leader's links to workers.
@@ -70,7 +70,7 @@
     rotation: usize,
     /// Number of items visited by passes (jobs, waiting steps and searches for a worker),
     /// as a measure of the processor time spent.
-    pub(super) looked: u64,
+    pub(super) visited: u64,
 }
 
 /// The advisor's decision about a worker for a step.
@@ -95,7 +95,7 @@
     }
 
     /// Updates the ranks of changed jobs; returns the jobs that were visited.
-    pub fn refresh(&mut self, now_unix_ms: u64, world: &SchedulerWorld) -> BTreeSet<JobId> {
+    pub fn refresh(&mut self, now_unix_ms: u64, world: &SchedulerInput) -> BTreeSet<JobId> {
         let world = BacklogWorld {
             state: world.state,
             estimates: world.estimates,
@@ -103,7 +103,7 @@
             sizes: &self.sizes,
         };
         let visited = self.backlog.refresh(now_unix_ms, &world);
-        self.looked += visited.len() as u64;
+        self.visited += visited.len() as u64;
         visited
     }
 
@@ -113,7 +113,7 @@
     pub fn pass(
         &mut self,
         now_ms: u64,
-        world: &SchedulerWorld,
+        world: &SchedulerInput,
         starts_max: usize,
     ) -> Vec<Placement> {
         self.missing_advice.clear();
@@ -149,7 +149,7 @@
     fn place_round_robin(
         &mut self,
         now_ms: u64,
-        world: &SchedulerWorld,
+        world: &SchedulerInput,
         pools: &mut [PoolPass],
         starts_max: usize,
     ) -> Vec<Placement> {
@@ -178,7 +178,7 @@
     fn place_next(
         &mut self,
         now_ms: u64,
-        world: &SchedulerWorld,
+        world: &SchedulerInput,
         queues: &BTreeMap<&str, &Queue>,
         pass: &mut PoolPass,
         starts_left: usize,
@@ -188,8 +188,8 @@
                 pass.stage = Stage::Exhausted;
                 break;
             };
-            self.looked += 1;
-            if !pass.largest.holds(&demand.room) {
+            self.visited += 1;
+            if !pass.largest.fits(&demand.room) {
                 pass.record_miss(world.policy);
                 continue;
             }
@@ -222,7 +222,7 @@
     fn candidates<'a>(
         &self,
         now_ms: u64,
-        world: &SchedulerWorld<'a>,
+        world: &SchedulerInput<'a>,
         backlog: &Backlog,
     ) -> BTreeMap<&'a PoolName, (Vec<Candidate<'a>>, SizeShares)> {
         let (state, fleet) = (world.state, world.fleet);
@@ -245,8 +245,8 @@
                 name,
                 rack: worker.report.rack.as_ref().map(|r| r.as_str()),
                 labels: &worker.report.labels,
-                transient_room: worker.report.capacity.less(&used.lasting_room()),
-                free: worker.report.capacity.less(&used.reserved),
+                transient_room: worker.report.capacity.saturating_sub(&used.lasting_room()),
+                free: worker.report.capacity.saturating_sub(&used.reserved),
                 serving: used.serving,
                 best_effort: used.best_effort,
                 upkeep_due: self.upkeep_due.contains(name),
@@ -287,10 +287,10 @@
         starts_left: usize,
         policy: &PlacementPolicy,
     ) -> Vec<Placement> {
-        self.looked += 1;
+        self.visited += 1;
         let step = &pending.job.spec.steps[pending.step];
         let demand = step.reserved();
-        if !pool.iter().any(|c| c.free.holds(&demand)) {
+        if !pool.iter().any(|c| c.free.fits(&demand)) {
             return Vec::new();
         }
         let advised = queue.is_some_and(|q| q.advice.is_some());
@@ -321,7 +321,7 @@
             }
         };
         let may_take = |c: &Candidate| {
-            c.free.holds(&demand)
+            c.free.fits(&demand)
                 && c.meets_constraints(step)
                 && may_run(c)
                 && (!step.gang || rack.is_none() || c.rack == rack.as_deref())
@@ -344,7 +344,7 @@
         let gang_attempt = pending.next_gang_attempt();
         let mut starts = Vec::new();
         for index in waiting.iter().take(starts_left) {
-            self.looked += 1;
+            self.visited += 1;
             let task = pending.task(*index);
             let state = pending.occurrence.task(task.step, *index);
             let avoid = state.and_then(|t| t.failed_on.as_ref());
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -10,7 +10,7 @@
     Worker, WorkersByAddress,
 };
 use crate::codec::CodecError;
-use crate::jobs::{Ending, Job, JobId, JobSpec, JobState, TaskId};
+use crate::jobs::{Job, JobId, JobSpec, JobState, RunResult, TaskId};
 use crate::model::{InstanceName, PoolName};
 
 /// The replicated state: the configuration, the jobs, the known workers and the waves. It is
@@ -160,7 +160,7 @@
                 });
             }
             Change::Due { job, occurrence } => {
-                self.update_job(at_unix_ms, *job, |job| job.make_due(*occurrence));
+                self.update_job(at_unix_ms, *job, |job| job.create_occurrence(*occurrence));
             }
             Change::Place {
                 task,
@@ -180,7 +180,7 @@
                 worker,
             } => {
                 let unplaced = self.update_job(at_unix_ms, task.job, |job| {
-                    job.unplace(*task, *attempt, worker)
+                    job.cancel_placement(*task, *attempt, worker)
                 });
                 if unplaced == Some(true) {
                     self.runs.remove(worker, task.job);
@@ -281,7 +281,7 @@
             at_unix_ms,
         );
         if spec.recurrence.is_none() {
-            job.make_due(0);
+            job.create_occurrence(0);
         }
         if job.spec.recurrence.is_none() && !job.spec.lasts() {
             self.history.record_arrival(at_unix_ms, &job);
@@ -295,8 +295,8 @@
     /// Runs that an earlier leader placed are left out: their end was reported only once there
     /// was a leader again. With them, run times seemed five times as long after a change of
     /// leader, and every pool seemed to need all machines.
-    fn record_run_time(&mut self, at_unix_ms: u64, id: TaskId, attempt: u32, ending: Ending) {
-        let Some(job) = self.jobs.get(&id.job).filter(|_| ending == Ending::Done) else {
+    fn record_run_time(&mut self, at_unix_ms: u64, id: TaskId, attempt: u32, ending: RunResult) {
+        let Some(job) = self.jobs.get(&id.job).filter(|_| ending == RunResult::Done) else {
             return;
         };
         let task = job.task(id).filter(|task| task.checkpoint.is_empty());
@@ -341,7 +341,7 @@
         let job = self.jobs.get_mut(&id)?;
         let outcome = change(job);
         job.settle(at_unix_ms);
-        if job.verdict.is_some() && job.is_quiet() {
+        if job.verdict.is_some() && job.has_no_runs() {
             self.active.remove(&id);
         }
         Some(outcome)
--- a/src/entry/driver.rs
+++ b/src/entry/driver.rs
@@ -182,7 +182,7 @@
     }
 }
 
-fn start_disk(disk: Disk, inputs: Sender<Input>) -> Result<Sender<storage::Job>, DriverError> {
+fn start_disk(disk: Disk, inputs: Sender<Input>) -> Result<Sender<storage::WriteJob>, DriverError> {
     let (tx, rx) = channel();
     storage::spawn(disk, rx, move |synced| {
         let input = match synced {
@@ -226,7 +226,7 @@
     outgoing: Outgoing,
     links: Links<PeerFrame>,
     health: Arc<HealthBoard>,
-    disk: Option<Sender<storage::Job>>,
+    disk: Option<Sender<storage::WriteJob>>,
     stop_callers: watch::Sender<bool>,
     stop_all: watch::Sender<bool>,
     http: Option<JoinHandle<()>>,
@@ -249,7 +249,7 @@
                 if let Some(disk) = &self.disk {
                     // If the disk thread has ended, it has reported why; see
                     // `Input::DiskFailed`.
-                    let _ = disk.send(storage::Job { token, records });
+                    let _ = disk.send(storage::WriteJob { token, records });
                 }
             }
             Effect::Health(health) => self.health.show(health),
--- a/src/entry/node/jobs.rs
+++ b/src/entry/node/jobs.rs
@@ -1,8 +1,10 @@
 //! Patient jobs assigned to this entry instance, and requests about jobs.
 
 use crate::load::RequestId;
-use crate::model::{Class, Duty, Outcome, RefusalReason};
-use crate::state::{Change, Fence, Job, JobId, JobPhase, JobReply, MAX_JOB_PART_BYTES, Reply};
+use crate::model::{Class, DesiredState, Outcome, RefusalReason};
+use crate::state::{
+    Change, Fence, JobId, JobPhase, JobReply, MAX_JOB_PART_BYTES, PatientJob, Reply,
+};
 
 use super::super::open::{OpenRequest, Origin};
 use super::super::{CallAnswer, CallId, Effect, JobView};
@@ -95,7 +97,7 @@
         self.submit_to_dispatcher(now_ms, request, out);
     }
 
-    fn is_owner(&self, job: &Job) -> bool {
+    fn is_owner(&self, job: &PatientJob) -> bool {
         matches!(
             &job.phase,
             JobPhase::Assigned { owner, incarnation, .. }
@@ -103,7 +105,7 @@
         )
     }
 
-    fn job_attempt_timeout_ms(&self, job: &Job) -> Option<u64> {
+    fn job_attempt_timeout_ms(&self, job: &PatientJob) -> Option<u64> {
         let pool = self.state.fleet().carrier(&job.service)?;
         let service = pool.services.iter().find(|s| s.name == job.service)?;
         Some(attempt_timeout_ms(service))
@@ -122,7 +124,7 @@
     pub(super) fn request_checkpoints(&mut self, out: &mut Vec<Effect>) {
         for (of, instance) in &self.attempt_instances {
             let state = self.state.fleet().instances().get(instance);
-            let is_draining = state.is_some_and(|i| i.duty != Duty::Serving);
+            let is_draining = state.is_some_and(|i| i.duty != DesiredState::Serving);
             let open = self.requests.get(&of.0);
             let movable =
                 open.is_some_and(|o| o.idempotent && matches!(o.origin, Origin::Job { .. }));
@@ -314,7 +316,7 @@
     }
 }
 
-fn job_view(job: &Job) -> JobView {
+fn job_view(job: &PatientJob) -> JobView {
     match &job.phase {
         JobPhase::Ready => JobView::Waiting,
         JobPhase::Assigned { .. } => JobView::Running,
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Ending, JobId, JobSpec, JobState, Occurrence, Run, Task, TaskId};
+use super::{JobId, JobSpec, JobState, Occurrence, Run, RunResult, Task, TaskId};
 use crate::model::{InstanceName, PoolName};
 
 /// An accepted job and its progress.
@@ -72,7 +72,7 @@
     }
 
     /// Creates an occurrence that has come due, unless it exists or is done.
-    pub fn make_due(&mut self, occurrence: u32) {
+    pub fn create_occurrence(&mut self, occurrence: u32) {
         if occurrence >= self.done_below && occurrence < self.spec.occurrences() {
             let spec = &self.spec;
             self.occurrences
@@ -166,7 +166,7 @@
 
     /// Removes a run whose order to start had no effect and never will. Returns
     /// `false` if the run is not recorded.
-    pub fn unplace(&mut self, id: TaskId, attempt: u32, worker: &InstanceName) -> bool {
+    pub fn cancel_placement(&mut self, id: TaskId, attempt: u32, worker: &InstanceName) -> bool {
         self.task_mut(id)
             .is_some_and(|task| remove_run(task, attempt, worker))
     }
@@ -177,7 +177,7 @@
         id: TaskId,
         attempt: u32,
         worker: &InstanceName,
-        ending: Ending,
+        ending: RunResult,
         checkpoint: &str,
     ) -> bool {
         let gang = self
@@ -201,8 +201,8 @@
             task.checkpoint = checkpoint.to_owned();
         }
         match ending {
-            Ending::Done if !lasting => task.done = true,
-            Ending::Failed => {
+            RunResult::Done if !lasting => task.done = true,
+            RunResult::Failed => {
                 task.failures += 1;
                 task.failed_on = Some(worker.clone());
                 if task.failures >= attempts_max && !lasting && !task.done {
@@ -219,13 +219,13 @@
 
     /// Applies the end of one task to its whole gang, whose tasks end and resume
     /// together.
-    fn apply_to_gang(&mut self, id: TaskId, ending: Ending, checkpoint: &str) {
+    fn apply_to_gang(&mut self, id: TaskId, ending: RunResult, checkpoint: &str) {
         let count = self.spec.steps[usize::from(id.step)].tasks;
         for index in 0..count {
             let Some(task) = self.task_mut(TaskId { index, ..id }) else {
                 continue;
             };
-            if ending == Ending::Done {
+            if ending == RunResult::Done {
                 task.done = true;
             }
             if !checkpoint.is_empty() {
@@ -255,7 +255,7 @@
     }
 
     /// Whether no run of it may be in progress.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_runs(&self) -> bool {
         self.runs().next().is_none()
     }
 
--- a/src/lab/worker.rs
+++ b/src/lab/worker.rs
@@ -2,7 +2,7 @@
 
 use super::RunningTask;
 use crate::control::{Ended, OrderOutcome, Running};
-use crate::jobs::{Ending, Room, TaskId};
+use crate::jobs::{Resources, RunResult, TaskId};
 use crate::model::InstanceName;
 
 /// An incarnation of a worker: what runs, and ends that stay listed until acknowledged.
@@ -32,13 +32,15 @@
     }
 
     /// What all runs take together.
-    pub fn used(&self) -> Room {
+    pub fn used(&self) -> Resources {
         let runs = self.running.values();
-        runs.fold(Room::default(), |used, run| used.plus(&run.demand))
+        runs.fold(Resources::default(), |used, run| {
+            used.saturating_add(&run.demand)
+        })
     }
 
     /// Ends a run; `false` if there is none.
-    pub fn end(&mut self, task: TaskId, attempt: u32, ending: Ending) -> bool {
+    pub fn end(&mut self, task: TaskId, attempt: u32, ending: RunResult) -> bool {
         if self.running.remove(&(task, attempt)).is_none() {
             return false;
         }
--- a/src/load/upstream.rs
+++ b/src/load/upstream.rs
@@ -1,6 +1,8 @@
 use std::collections::BTreeMap;
 
-use crate::model::{Capacity, Demand, EntryName, InstanceName, RackName, Standing, UpstreamReport};
+use crate::model::{
+    Capacity, Demand, EntryName, InstanceName, RackName, UpstreamReport, UpstreamState,
+};
 
 use super::health::HealthRecord;
 use super::limit::ConcurrencyLimit;
@@ -48,7 +50,7 @@
     incarnation: u64,
     sequence: u64,
     capacity: Capacity,
-    standing: Standing,
+    standing: UpstreamState,
 }
 
 /// Requests of another entry instance, and when they were reported.
@@ -198,7 +200,9 @@
         self.serves
             && self.pool.is_some()
             && self.lease_until_ms > now_ms
-            && self.report.is_some_and(|r| r.standing == Standing::Serving)
+            && self
+                .report
+                .is_some_and(|r| r.standing == UpstreamState::Serving)
     }
 
     /// Returns how many of our requests it may hold now.
--- a/src/maintenance/bounds.rs
+++ b/src/maintenance/bounds.rs
@@ -1,7 +1,7 @@
 //! Lower bounds on the duration and the moves of a wave. No schedule can beat
 //! them, even one that knows all visit times in advance.
 
-use crate::model::{Budget, RackName, Survive};
+use crate::model::{Budget, FailureDomain, RackName};
 
 use super::Room;
 
@@ -39,7 +39,7 @@
         let all = self.durations_ms(None);
         let width = self.room.width_bound(&self.budget) + lent;
         let mut bound_ms = visits_bound_ms(all, width)?;
-        if self.budget.survive == Survive::Rack {
+        if self.budget.survive == FailureDomain::Rack {
             let (size, racks) = self.room.largest_racks();
             let serving = self.room.serving() + lent;
             let width = serving.saturating_sub(self.budget.min_available + size);
@@ -61,8 +61,8 @@
     /// racks ideally.
     fn ideal_width(&self) -> u32 {
         let reserve = match self.budget.survive {
-            Survive::None => 0,
-            Survive::Instance | Survive::Rack => 1,
+            FailureDomain::None => 0,
+            FailureDomain::Instance | FailureDomain::Rack => 1,
         };
         let serving = self.room.serving();
         serving.saturating_sub(self.budget.min_available + reserve)
--- a/src/maintenance/budget_use.rs
+++ b/src/maintenance/budget_use.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::model::{PoolName, Survive};
+use crate::model::{FailureDomain, PoolName};
 
 use super::Cause;
 
@@ -19,7 +19,7 @@
     /// Numbers of instances that do not serve, by cause.
     pub absent: BTreeMap<Cause, u32>,
     /// The failure domain whose loss the pool must survive.
-    pub survive: Survive,
+    pub survive: FailureDomain,
     /// Most instances that the loss of one such domain would take out of service.
     pub worst_loss: u32,
     /// Number of instances that must be available.
@@ -52,7 +52,7 @@
         if !self.absent.is_empty() {
             write!(f, ")")?;
         }
-        if self.survive != Survive::None {
+        if self.survive != FailureDomain::None {
             let (loss, domain) = (self.worst_loss, self.survive);
             write!(f, ", less {loss} for the worst {domain} still to come")?;
         }
--- a/src/maintenance/controller/absences.rs
+++ b/src/maintenance/controller/absences.rs
@@ -1,7 +1,7 @@
 //! Follows absent instances: drains until they are proved or time out, moves until
 //! they finish or are aborted, and away instances until they return or time out.
 
-use crate::model::{Absence, Duty, Instance, InstanceName, PoolName, Standing};
+use crate::model::{Absence, DesiredState, Instance, InstanceName, PoolName, UpstreamState};
 
 use super::super::{FleetCommand, PlatformOrder, StopProof};
 use super::repairs::is_leaving;
@@ -22,9 +22,9 @@
                 continue;
             };
             match &instance.duty {
-                Duty::Serving => {}
-                Duty::Draining { absence } => self.follow_drain(step, instance, absence),
-                Duty::Away { absence } => self.follow_away(step, instance, absence),
+                DesiredState::Serving => {}
+                DesiredState::Draining { absence } => self.follow_drain(step, instance, absence),
+                DesiredState::Away { absence } => self.follow_away(step, instance, absence),
             }
         }
     }
@@ -186,7 +186,7 @@
     ) -> Option<u64> {
         let back = step.seen(name).filter(|seen| {
             seen.report.incarnation > left
-                && seen.report.standing != Standing::Leaving
+                && seen.report.standing != UpstreamState::Leaving
                 && !seen.sick
                 && seen.is_fresh(step.now_ms, self.settings.failed_after_ms)
         });
@@ -208,11 +208,11 @@
     /// and the learned one each.
     fn expected_times_ms(&self, step: &Step<'_>, instance: &Instance) -> (u64, u64) {
         let wave = match &instance.duty {
-            Duty::Draining { absence } | Duty::Away { absence } => match absence {
+            DesiredState::Draining { absence } | DesiredState::Away { absence } => match absence {
                 Absence::Reboot { wave } | Absence::Replace { wave } => Some(wave),
                 _ => None,
             },
-            Duty::Serving => None,
+            DesiredState::Serving => None,
         };
         let wave = wave.and_then(|name| step.fleet.waves().get(name));
         let Some(wave) = wave else {
--- a/src/maintenance/controller/loans.rs
+++ b/src/maintenance/controller/loans.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::model::{Absence, Duty, Instance, InstanceName, Pool, PoolName, WaveName};
+use crate::model::{Absence, DesiredState, Instance, InstanceName, Pool, PoolName, WaveName};
 
 use super::super::pace::{PoolProgress, exclude_donor, next_loan, next_visit};
 use super::super::{Cause, FleetCommand, Wave, WaveSpec};
@@ -203,7 +203,7 @@
     let mut incoming = BTreeMap::new();
     for name in step.fleet.absent() {
         let duty = step.fleet.instances().get(name).map(|i| &i.duty);
-        if let Some(Duty::Draining {
+        if let Some(DesiredState::Draining {
             absence: Absence::Move { to },
         }) = duty
         {
--- a/src/maintenance/controller/repairs.rs
+++ b/src/maintenance/controller/repairs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::model::{Absence, Duty, Instance, InstanceName, Standing, ZoneName};
+use crate::model::{Absence, DesiredState, Instance, InstanceName, UpstreamState, ZoneName};
 
 use super::super::FleetCommand;
 use super::{Controller, Step, collect_names};
@@ -15,7 +15,7 @@
         for (name, instance) in fleet.instances() {
             while reports.next_if(|(other, _)| *other < name).is_some() {}
             let seen = reports.next_if(|(other, _)| *other == name);
-            if matches!(instance.duty, Duty::Away { .. }) {
+            if matches!(instance.duty, DesiredState::Away { .. }) {
                 continue;
             }
             let failed = fleet.is_failed(name);
@@ -40,7 +40,7 @@
             let Some(instance) = step.fleet.instances().get(&name) else {
                 continue;
             };
-            if instance.duty != Duty::Serving {
+            if instance.duty != DesiredState::Serving {
                 continue;
             }
             if is_leaving(step, &name) {
@@ -62,7 +62,7 @@
 
     fn repairs_running(&self, step: &Step<'_>) -> u32 {
         let absence = Absence::Repair;
-        let repair = Duty::Away { absence };
+        let repair = DesiredState::Away { absence };
         let absent = step.fleet.absent().iter();
         let absent = absent.filter_map(|name| step.fleet.instances().get(name));
         let count = absent.filter(|instance| instance.duty == repair).count();
@@ -118,7 +118,7 @@
 /// Whether the last report of an upstream says that it leaves for good.
 pub(super) fn is_leaving(step: &Step<'_>, name: &InstanceName) -> bool {
     let standing = step.seen(name).map(|seen| seen.report.standing);
-    standing == Some(Standing::Leaving)
+    standing == Some(UpstreamState::Leaving)
 }
 
 /// Zones in which more than half of the instances failed. A network partition is more
@@ -130,7 +130,7 @@
         // Instances that are away by decision say nothing about the zone. If they
         // counted, a few set aside and a few failed ones together would stop all
         // repairs in the zone permanently.
-        if matches!(instance.duty, Duty::Away { .. }) {
+        if matches!(instance.duty, DesiredState::Away { .. }) {
             continue;
         }
         let (all, failed) = zones.entry(&instance.zone).or_default();
--- a/src/maintenance/controller/waves.rs
+++ b/src/maintenance/controller/waves.rs
@@ -1,6 +1,6 @@
 //! Runs waves: proposes the next instances to take out of service.
 
-use crate::model::{Duty, InstanceName, PoolName};
+use crate::model::{DesiredState, InstanceName, PoolName};
 
 use super::super::pace::next_visit;
 use super::super::{FleetCommand, Wave, WaveState};
@@ -56,7 +56,7 @@
 
     pub(super) fn is_ready(&self, step: &Step<'_>, name: &InstanceName) -> bool {
         let serving = step.fleet.instances().get(name);
-        serving.is_some_and(|instance| instance.duty == Duty::Serving)
+        serving.is_some_and(|instance| instance.duty == DesiredState::Serving)
             && !step.fleet.is_failed(name)
             && !self.proposed.contains_key(name)
     }
--- a/src/maintenance/room.rs
+++ b/src/maintenance/room.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::model::{Budget, RackName, Survive};
+use crate::model::{Budget, FailureDomain, RackName};
 
 /// Serving instances of a pool by rack, from which its room for absences follows.
 ///
@@ -42,7 +42,7 @@
     /// Under a budget that survives a rack, one in the largest rack leaves no more.
     pub fn gains_room_from(&self, rack: &RackName, budget: &Budget) -> bool {
         let largest = self.members.values().max().copied().unwrap_or(0);
-        budget.survive != Survive::Rack || self.members_in(rack) < largest
+        budget.survive != FailureDomain::Rack || self.members_in(rack) < largest
     }
 
     /// Adds a serving instance of `rack`.
@@ -78,17 +78,17 @@
 
     /// The number of serving instances in the largest racks, and those racks.
     pub fn largest_racks(&self) -> (u32, impl Iterator<Item = &RackName>) {
-        let worst = self.worst_loss(Survive::Rack);
+        let worst = self.worst_loss(FailureDomain::Rack);
         let racks = self.by_rack.iter().filter(move |(_, size)| **size == worst);
         (worst, racks.map(|(rack, _)| rack))
     }
 
     /// Most instances lost with one failure domain.
-    pub fn worst_loss(&self, survive: Survive) -> u32 {
+    pub fn worst_loss(&self, survive: FailureDomain) -> u32 {
         match survive {
-            Survive::None => 0,
-            Survive::Instance => self.serving.min(1),
-            Survive::Rack => self.racks_by_size.keys().next_back().copied().unwrap_or(0),
+            FailureDomain::None => 0,
+            FailureDomain::Instance => self.serving.min(1),
+            FailureDomain::Rack => self.racks_by_size.keys().next_back().copied().unwrap_or(0),
         }
     }
 
@@ -101,9 +101,9 @@
     pub fn holds_without(&self, rack: &RackName, budget: &Budget) -> bool {
         let serving = self.serving.saturating_sub(1);
         let worst = match budget.survive {
-            Survive::None => 0,
-            Survive::Instance => serving.min(1),
-            Survive::Rack => self.largest_rack_without(rack),
+            FailureDomain::None => 0,
+            FailureDomain::Instance => serving.min(1),
+            FailureDomain::Rack => self.largest_rack_without(rack),
         };
         serving - worst >= budget.min_available
     }
@@ -114,9 +114,9 @@
         let racks = self.serving_racks().max(1);
         let fits = |left: u32| {
             let worst = match budget.survive {
-                Survive::None => 0,
-                Survive::Instance => left.min(1),
-                Survive::Rack => left.div_ceil(racks),
+                FailureDomain::None => 0,
+                FailureDomain::Instance => left.min(1),
+                FailureDomain::Rack => left.div_ceil(racks),
             };
             left - worst >= budget.min_available
         };
@@ -125,7 +125,7 @@
     }
 
     fn largest_rack_without(&self, rack: &RackName) -> u32 {
-        let worst = self.worst_loss(Survive::Rack);
+        let worst = self.worst_loss(FailureDomain::Rack);
         let is_only_largest = self.racks_by_size.get(&worst) == Some(&1);
         if is_only_largest && self.serving_in(rack) == worst {
             worst.saturating_sub(1)
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -16,7 +16,7 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use crate::control::steady_ms;
+use crate::control::boottime_ms;
 use crate::places::{Place, Places};
 
 /// Maximum size of a response body. A listing of 500 ended and 500 running tasks has about
@@ -219,7 +219,7 @@
         limit: Duration,
     ) -> Result<(StatusCode, Bytes), ClientError> {
         let deadline = Instant::now() + limit;
-        let deadline_ms = steady_ms() + limit.as_millis() as u64;
+        let deadline_ms = boottime_ms() + limit.as_millis() as u64;
         let permits = self.permits(address);
         let permit = timeout_at(deadline, permits.acquire()).await;
         let Ok(Ok(_permit)) = permit else {
@@ -240,7 +240,7 @@
             };
             // An event loop that was blocked or suspended may find a free connection only after
             // the deadline. A request sent now would arrive after its sender has timed out.
-            if steady_ms() >= deadline_ms {
+            if boottime_ms() >= deadline_ms {
                 self.put_idle(address, connection);
                 return Err(ClientError::NotSent);
             }
--- a/src/platform/control_calls.rs
+++ b/src/platform/control_calls.rs
@@ -78,7 +78,7 @@
     /// Returns the reply to a report, with the address for the next one. A worker gets the same
     /// address as long as that instance is available, so that its reports stay in order.
     fn report_reply(&self, worker: &InstanceName) -> Reply {
-        let instances = self.desk.board().report_places;
+        let instances = self.desk.listener_status().report_places;
         let hash = crc32fast::hash(worker.as_str().as_bytes()) as usize;
         let instance = instances.get(hash % instances.len().max(1));
         match instance.and_then(|name| self.settings.control_address(name)) {
--- a/src/platform/jobs.rs
+++ b/src/platform/jobs.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-use crate::jobs::{JobSpec, Recurrence, Room, Step};
+use crate::jobs::{JobSpec, Recurrence, Resources, Step};
 
 /// A job. Fields that are 0, false or empty are omitted on the wire.
 #[derive(Deserialize)]
@@ -85,7 +85,7 @@
     let non_empty = |text: String| (!text.is_empty()).then_some(text);
     Step {
         tasks: wire.count,
-        demand: Room {
+        demand: Resources {
             cpu_milli: wire.cpu,
             memory_mb: wire.mem_mb,
             accelerators: wire.gpu,
--- a/src/platform/outside.rs
+++ b/src/platform/outside.rs
@@ -4,7 +4,8 @@
 
 use super::{Client, Settings, advisor, machines, workers};
 use crate::control::{
-    ELECTION_TIMEOUT_MS, Local, Machine, MachineOrder, MachineOutcome, Order, OrderOutcome, Outside,
+    ELECTION_TIMEOUT_MS, ExternalSystems, LocalFuture, Machine, MachineOrder, MachineOutcome,
+    Order, OrderOutcome,
 };
 use crate::jobs::TaskId;
 use crate::model::InstanceName;
@@ -51,12 +52,12 @@
     }
 }
 
-impl Outside for Platform {
-    fn order(&self, order: Order) -> Local<OrderOutcome> {
+impl ExternalSystems for Platform {
+    fn order(&self, order: Order) -> LocalFuture<OrderOutcome> {
         Box::pin(workers::order(&self.workers, order))
     }
 
-    fn order_machine(&self, order: MachineOrder) -> Local<MachineOutcome> {
+    fn order_machine(&self, order: MachineOrder) -> LocalFuture<MachineOutcome> {
         match self.machine_manager {
             Some(machine_manager) => {
                 let holder = &self.lease_holder;
@@ -76,7 +77,7 @@
         self.services.abort();
     }
 
-    fn list_machines(&self) -> Local<Option<Vec<Machine>>> {
+    fn list_machines(&self) -> LocalFuture<Option<Vec<Machine>>> {
         let client = Rc::clone(&self.services);
         let machine_manager = self.machine_manager;
         Box::pin(async move { machines::list(&client, machine_manager?).await })
@@ -87,7 +88,7 @@
         step: TaskId,
         workers: Vec<InstanceName>,
         timeout_ms: u64,
-    ) -> Local<Option<Vec<(InstanceName, String)>>> {
+    ) -> LocalFuture<Option<Vec<(InstanceName, String)>>> {
         let client = Rc::clone(&self.services);
         let advisor = self.advisor;
         Box::pin(async move {
--- a/src/platform/serve.rs
+++ b/src/platform/serve.rs
@@ -15,8 +15,8 @@
 use super::settings_fault::join_lines;
 use super::{CaughtSignals, ControlCalls, EntryCalls, Platform, Settings, SettingsFault};
 use crate::control::{
-    self, BudgetedPlaces, ConnectionBudget, Desk, Driver, Gateway, Node, NodeSettings, PeerMessage,
-    Policy, PolicyFault, Signal, WallClock, steady_ms,
+    self, ConnectionBudget, ConnectionPermits, Desk, Driver, Gateway, Node, NodeSettings,
+    PeerMessage, Policy, PolicyFault, Signal, WallClock, boottime_ms,
 };
 use crate::http::{Handler, HttpServer, Limits, text};
 use crate::link::{Directory, LinkError, Links, LinksConfig, PeerClass, PeerKey};
@@ -115,7 +115,7 @@
     };
     let wall = WallClock::default();
     wall.set_offset_ms(settings.clock_offset_ms);
-    let node = Node::new(node, recovered, wall.unix_ms(), steady_ms());
+    let node = Node::new(node, recovered, wall.unix_ms(), boottime_ms());
     let outside = Rc::new(Platform::new(&settings, places.workers));
     let handler = ControlCalls::new(Arc::clone(&desk), settings.clone()).handler();
     caught.forward(signals, wall.clone())?;
@@ -219,7 +219,7 @@
 
 fn health(desk: Arc<Desk>) -> Handler {
     Arc::new(move |_| {
-        let ready = desk.board().ready;
+        let ready = desk.listener_status().ready;
         Box::pin(async move {
             match ready {
                 true => text(StatusCode::OK, "ready\n"),
@@ -252,7 +252,7 @@
 fn start_links(
     settings: &Settings,
     class: PeerClass,
-    places: &BudgetedPlaces,
+    places: &ConnectionPermits,
     signals: UnboundedSender<Signal>,
 ) -> Result<PeerLinks, ServeError> {
     let conf = LinksConfig {
@@ -276,7 +276,7 @@
 fn start_disk(
     disk: Disk,
     signals: UnboundedSender<Signal>,
-) -> Result<mpsc::Sender<storage::Job>, ServeError> {
+) -> Result<mpsc::Sender<storage::WriteJob>, ServeError> {
     let (tx, rx) = mpsc::channel();
     storage::spawn(disk, rx, move |synced| {
         let signal = match synced {
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -11,7 +11,7 @@
 use super::cell::Cell;
 use super::{Client, ClientError};
 use crate::control::{Ended, Order, OrderKind, OrderOutcome, Rejection, Running};
-use crate::jobs::Ending;
+use crate::jobs::RunResult;
 
 /// Header with the worker incarnation that an order is addressed to.
 const INCARNATION_HEADER: &str = "expect-instance";
@@ -235,12 +235,12 @@
 /// Decodes a row: number, task, attempt, outcome, checkpoint.
 fn read_ended(row: &Cell<'_>) -> Option<Ended> {
     let ending = match row.get(3)?.as_str()? {
-        "done" => Ending::Done,
-        "failed" => Ending::Failed,
-        "stopped" => Ending::Stopped,
-        "lapsed" => Ending::Lapsed,
-        "broken" => Ending::Broken,
-        "alone" => Ending::Alone,
+        "done" => RunResult::Done,
+        "failed" => RunResult::Failed,
+        "stopped" => RunResult::Stopped,
+        "lapsed" => RunResult::Lapsed,
+        "broken" => RunResult::Broken,
+        "alone" => RunResult::Alone,
         _ => return None,
     };
     Some(Ended {
--- a/tests/control/lapsing.rs
+++ b/tests/control/lapsing.rs
@@ -6,7 +6,7 @@
 use quickcheck::{Arbitrary, Gen};
 use quickcheck_macros::quickcheck;
 use rosemarygauge::control::{Change, Command, State};
-use rosemarygauge::jobs::{Ending, Job, JobId, JobSpec, JobState, Recurrence, Step, TaskId};
+use rosemarygauge::jobs::{Job, JobId, JobSpec, JobState, Recurrence, RunResult, Step, TaskId};
 use rosemarygauge::model::InstanceName;
 
 use crate::world::{configuration, job, step};
@@ -36,7 +36,7 @@
     },
     End {
         run: u8,
-        ending: Ending,
+        ending: RunResult,
     },
     Lapse {
         worker: u8,
@@ -54,7 +54,12 @@
         let job = u8::arbitrary(g) % JOBS;
         let worker = u8::arbitrary(g) % WORKERS;
         let (task, run) = (u8::arbitrary(g), u8::arbitrary(g));
-        let endings = [Ending::Done, Ending::Done, Ending::Failed, Ending::Stopped];
+        let endings = [
+            RunResult::Done,
+            RunResult::Done,
+            RunResult::Failed,
+            RunResult::Stopped,
+        ];
         let ending = *g.choose(&endings).unwrap();
         match u8::arbitrary(g) % 24 {
             0..4 => Self::Accept { job },
@@ -118,7 +123,7 @@
                 let (queue, pool) = ("quick".to_owned(), "east".into());
                 let mut new = Job::new(*job, queue, pool, Arc::clone(spec), 3, now_ms);
                 if spec.recurrence.is_none() {
-                    new.make_due(0);
+                    new.create_occurrence(0);
                 }
                 self.jobs.insert(*job, new);
                 self.active.insert(*job);
@@ -127,7 +132,7 @@
                 job.verdict.get_or_insert(JobState::Cancelled);
             }),
             Change::Due { job, occurrence } => {
-                self.with(now_ms, *job, |job| job.make_due(*occurrence));
+                self.with(now_ms, *job, |job| job.create_occurrence(*occurrence));
             }
             Change::Place {
                 task,
@@ -141,7 +146,7 @@
                 attempt,
                 worker,
             } => self.with(now_ms, task.job, |job| {
-                job.unplace(*task, *attempt, worker);
+                job.cancel_placement(*task, *attempt, worker);
             }),
             Change::End {
                 task,
@@ -170,7 +175,7 @@
         };
         change(job);
         job.settle(now_ms);
-        if job.verdict.is_some() && job.is_quiet() {
+        if job.verdict.is_some() && job.has_no_runs() {
             self.active.remove(&id);
         }
     }
--- a/tests/control/specs.rs
+++ b/tests/control/specs.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use rosemarygauge::jobs::{
-    Ending, Job, JobId, JobSpec, JobState, Recurrence, SpecFault, Step, TaskId,
+    Job, JobId, JobSpec, JobState, Recurrence, RunResult, SpecFault, Step, TaskId,
 };
 
 use crate::world::{job, step};
@@ -18,7 +18,7 @@
         3,
         1_000,
     );
-    job.make_due(0);
+    job.create_occurrence(0);
     job
 }
 
@@ -83,7 +83,10 @@
         ..step(1)
     };
     let spec = job(vec![step(1), step(1), after(vec![0, 1]), after(vec![2])]);
-    assert_eq!(spec.chains_ms(&[100, 900, 50, 7]), [157, 957, 57, 7]);
+    assert_eq!(
+        spec.critical_paths_ms(&[100, 900, 50, 7]),
+        [157, 957, 57, 7]
+    );
 }
 
 /// The end of one task of a gang ends all of them, and they share one checkpoint.
@@ -97,9 +100,9 @@
     for index in 0..3 {
         assert!(job.place(0, task(0, index), 1, &"i-1".into()));
     }
-    assert!(job.end(task(0, 0), 1, &"i-1".into(), Ending::Broken, "saved"));
+    assert!(job.end(task(0, 0), 1, &"i-1".into(), RunResult::Broken, "saved"));
     assert_eq!(job.task(task(0, 2)).unwrap().checkpoint, "saved");
-    assert!(job.end(task(0, 1), 1, &"i-1".into(), Ending::Done, ""));
+    assert!(job.end(task(0, 1), 1, &"i-1".into(), RunResult::Done, ""));
     job.settle(2_000);
     assert_eq!(job.state(), JobState::Completed);
 }
@@ -137,19 +140,19 @@
         0,
     );
     assert_eq!(job.next_due(), Some((0, 5_000)));
-    job.make_due(0);
+    job.create_occurrence(0);
     assert_eq!(job.next_due(), Some((1, 6_000)));
     job.place(0, task(0, 0), 1, &"i".into());
-    job.end(task(0, 0), 1, &"i".into(), Ending::Done, "");
+    job.end(task(0, 0), 1, &"i".into(), RunResult::Done, "");
     job.settle(5_500);
     assert_eq!(job.state(), JobState::Running);
-    job.make_due(1);
+    job.create_occurrence(1);
     let second = TaskId {
         occurrence: 1,
         ..task(0, 0)
     };
     job.place(0, second, 1, &"i".into());
-    job.end(second, 1, &"i".into(), Ending::Done, "");
+    job.end(second, 1, &"i".into(), RunResult::Done, "");
     job.settle(6_500);
     assert_eq!(job.state(), JobState::Completed);
 }
@@ -160,8 +163,8 @@
 fn an_end_counts_once() {
     let mut job = accepted(job(vec![step(1)]));
     job.place(0, task(0, 0), 1, &"i-1".into());
-    assert!(job.end(task(0, 0), 1, &"i-1".into(), Ending::Failed, ""));
-    assert!(!job.end(task(0, 0), 1, &"i-1".into(), Ending::Failed, ""));
+    assert!(job.end(task(0, 0), 1, &"i-1".into(), RunResult::Failed, ""));
+    assert!(!job.end(task(0, 0), 1, &"i-1".into(), RunResult::Failed, ""));
     assert_eq!(job.task(task(0, 0)).unwrap().failures, 1);
 }
 
@@ -174,7 +177,7 @@
     let mut job = accepted(spec);
     for attempt in 1..10 {
         assert!(job.place(0, task(0, 0), attempt, &"i-1".into()));
-        assert!(job.end(task(0, 0), attempt, &"i-1".into(), Ending::Failed, ""));
+        assert!(job.end(task(0, 0), attempt, &"i-1".into(), RunResult::Failed, ""));
         job.settle(2_000);
     }
     assert_eq!(job.state(), JobState::Running);
--- a/tests/maintenance/faults.rs
+++ b/tests/maintenance/faults.rs
@@ -4,11 +4,11 @@
 use rosemarygauge::maintenance::{
     Cause, FleetCommand, FleetRefusal, Selection, WaveKind, WaveState,
 };
-use rosemarygauge::model::{Absence, Duty, InstanceName, PoolName, Survive};
+use rosemarygauge::model::{Absence, DesiredState, FailureDomain, InstanceName, PoolName};
 
 use super::worlds::{MINUTE_MS, audit, kill_rack, wave};
 
-fn new_world(survive: Survive) -> World {
+fn new_world(survive: FailureDomain) -> World {
     let mut world = World::new(fleet(50, 5, survive), 1);
     world.draw(30, |_| (MINUTE_MS, 4 * MINUTE_MS));
     world.audit = audit;
@@ -21,14 +21,14 @@
     tally.members().iter().nth(nth).unwrap().clone()
 }
 
-fn duty<'a>(world: &'a World, name: &InstanceName) -> &'a Duty {
+fn duty<'a>(world: &'a World, name: &InstanceName) -> &'a DesiredState {
     &world.fleet.instances()[name].duty
 }
 
 fn is_set_aside(world: &World, name: &InstanceName) -> bool {
     matches!(
         duty(world, name),
-        Duty::Away {
+        DesiredState::Away {
             absence: Absence::SetAside { .. }
         }
     )
@@ -50,7 +50,7 @@
 /// every instance.
 #[test]
 fn rack_lost_mid_wave() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     start_wave(&mut world, Selection::All);
     world.run_until(10 * MINUTE_MS, |_| false);
     kill_rack(&mut world, &"worker-00040".into());
@@ -81,7 +81,7 @@
 /// wave must end without it.
 #[test]
 fn instance_that_never_returns() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     let lost = member(&world, "pool-02", 0);
     world.machines.get_mut(&lost).unwrap().fate = Fate::Never;
     start_wave(&mut world, Selection::Pool("pool-02".into()));
@@ -101,7 +101,7 @@
 /// aside; otherwise requests would fail after every further one.
 #[test]
 fn instance_that_comes_back_sick() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     let sick = member(&world, "pool-02", 0);
     world.machines.get_mut(&sick).unwrap().fate = Fate::Sick;
     start_wave(&mut world, Selection::Pool("pool-02".into()));
@@ -117,7 +117,7 @@
     world.kill(&sick);
     assert!(world.run_until(MINUTE_MS, |w| w.fleet.is_failed(&sick)));
     assert!(world.run_until(30 * MINUTE_MS, |w| !w.fleet.is_failed(&sick)));
-    assert_eq!(*duty(&world, &sick), Duty::Serving);
+    assert_eq!(*duty(&world, &sick), DesiredState::Serving);
 }
 
 /// An instance fails between its drain and its change of pool. The move must be
@@ -125,7 +125,7 @@
 /// repaired there.
 #[test]
 fn instance_dies_mid_move() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     let name = member(&world, "pool-01", 0);
     let (instance, to) = (name.clone(), "pool-03".into());
     world
@@ -133,7 +133,7 @@
         .unwrap();
     world.run_until(10_000, |_| false);
     world.kill(&name);
-    assert!(world.run_until(MINUTE_MS, |w| *duty(w, &name) == Duty::Serving));
+    assert!(world.run_until(MINUTE_MS, |w| *duty(w, &name) == DesiredState::Serving));
     assert_eq!(
         world.fleet.instances()[&name].pool,
         PoolName::from("pool-01")
@@ -149,7 +149,7 @@
 /// finishes once the upstream has drained and the dispatch leases have expired.
 #[test]
 fn silent_entry_during_a_move() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     let name = member(&world, "pool-01", 0);
     world.silent.insert("entry-b".into());
     // Its running work takes eleven minutes.
@@ -186,13 +186,13 @@
 /// recover without an operator, and the wave must end with the budget intact.
 #[test]
 fn second_instance_lost_right_after_a_repair() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     let (first, second) = (member(&world, "pool-04", 11), member(&world, "pool-04", 10));
     start_wave(&mut world, Selection::Pool("pool-04".into()));
     world.kill(&first);
     let repaired = |w: &World| {
         let record = w.fleet.record(&first).unwrap();
-        !record.repairs_unix_ms.is_empty() && *duty(w, &first) == Duty::Serving
+        !record.repairs_unix_ms.is_empty() && *duty(w, &first) == DesiredState::Serving
     };
     assert!(world.run_until(30 * MINUTE_MS, repaired));
     world.kill(&second);
@@ -206,7 +206,7 @@
 /// not be repaired.
 #[test]
 fn zone_cut_off_is_not_repaired() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     let zone: Vec<InstanceName> = world
         .fleet
         .instances()
@@ -229,7 +229,7 @@
 /// four at the same time.
 #[test]
 fn instances_set_aside_do_not_make_a_zone_look_cut_off() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     let of_zone = world
         .fleet
         .instances()
@@ -256,7 +256,7 @@
         world.kill(name);
     }
     let absence = Absence::Repair;
-    let repair = Duty::Away { absence };
+    let repair = DesiredState::Away { absence };
     let running = |w: &World| {
         w.fleet
             .instances()
@@ -277,7 +277,7 @@
 /// would stay paused forever. It must borrow from the pool with the most room.
 #[test]
 fn pool_that_stays_broken_borrows() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     for nth in 0..3 {
         let name = member(&world, "pool-00", nth);
         world.machines.get_mut(&name).unwrap().fate = Fate::Never;
@@ -305,7 +305,7 @@
 /// with the reason and change nothing.
 #[test]
 fn late_and_repeated_commands_are_refused() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     // The fleet accepts a finish without a stop proof, which the audit would reject.
     world.audit = |_, _| {};
     let name = member(&world, "pool-01", 0);
@@ -358,7 +358,7 @@
 /// pool's budget use oscillate. The instance counts as failed nearly all the time.
 #[test]
 fn flapping_instance_does_not_flood_the_log() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     let name = member(&world, "pool-00", 0);
     let before = world.counts.accepted;
     for _ in 0..360 {
@@ -376,7 +376,7 @@
 /// continue without it.
 #[test]
 fn upstream_that_leaves() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     let name = member(&world, "pool-00", 7);
     start_wave(&mut world, Selection::Pool("pool-00".into()));
     world.machines.get_mut(&name).unwrap().state = MachineState::Leaving {
@@ -397,14 +397,14 @@
 /// ever stopping it while work runs.
 #[test]
 fn drain_that_never_ends() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     let name = member(&world, "pool-00", 0);
     world.machines.get_mut(&name).unwrap().drain_ms = u64::MAX / 2;
     start_wave(&mut world, Selection::Pool("pool-00".into()));
     assert!(world.run_until(180 * MINUTE_MS, |w| *wave_state(w) == WaveState::Done));
     let why = &world.fleet.waves()["roll"].left_out[&name];
     assert_eq!(why, "put off 3 times: 1 requests run on it");
-    assert_eq!(*duty(&world, &name), Duty::Serving);
+    assert_eq!(*duty(&world, &name), DesiredState::Serving);
 }
 
 /// The leader's wall clock jumps a day ahead while instances reboot. By the times in
@@ -412,7 +412,7 @@
 /// may be set aside, and the learned visit time must stay plausible.
 #[test]
 fn wall_clock_of_the_leader_jumps() {
-    let mut world = new_world(Survive::Instance);
+    let mut world = new_world(FailureDomain::Instance);
     start_wave(&mut world, Selection::Pool("pool-00".into()));
     world.run_until(3 * MINUTE_MS, |_| false);
     world.clock_error_ms = 24 * 60 * MINUTE_MS;
