--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -90,7 +90,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum CallOrigin {
     /// At a listener of this instance; the id of the call.
-    Local(u64),
+    Here(u64),
     /// At another instance, which forwarded it; the instance and its id of the call.
     Peer(EntryName, u64),
 }
@@ -162,7 +162,7 @@
             Event::Tick => self.tick(now_ms),
             Event::Peer { from, message } => self.handle_peer_message(now_ms, from, *message),
             Event::Persisted { token } => self.step_replica(now_ms, Input::Persisted { token }),
-            Event::Call { id, call } => self.handle_call(now_ms, CallOrigin::Local(id), call),
+            Event::Call { id, call } => self.handle_call(now_ms, CallOrigin::Here(id), call),
             Event::Ordered { id, outcome } => self.handle_order_outcome(now_ms, id, outcome),
             Event::MachineOrdered { id, outcome } => self.finish_machine_order(now_ms, id, outcome),
             Event::MachinesListed { machines } => self.handle_machine_list(now_ms, machines),
@@ -273,7 +273,7 @@
             return self.answer_call(now_ms, caller, call);
         }
         match caller {
-            CallOrigin::Local(id) => {
+            CallOrigin::Here(id) => {
                 let leader = self.leader();
                 if leader.is_some() && self.is_known_report(&call) {
                     return self.answer(&caller, super::Answer::Done);
@@ -307,7 +307,7 @@
             tracing::info!(?caller, %refusal, version, "call: refused");
         }
         match caller {
-            CallOrigin::Local(id) => self.out.push(Effect::Answer { id: *id, answer }),
+            CallOrigin::Here(id) => self.out.push(Effect::Answer { id: *id, answer }),
             CallOrigin::Peer(to, id) => {
                 self.send(to.clone(), PeerMessage::Answer { id: *id, answer });
             }
--- a/src/control/node/leader_state.rs
+++ b/src/control/node/leader_state.rs
@@ -174,7 +174,7 @@
         );
         self.out.push(Effect::Count(Decision::LeadBegan));
         for (id, call) in self.relay.take_all() {
-            self.answer_call(now_ms, CallOrigin::Local(id), call);
+            self.answer_call(now_ms, CallOrigin::Here(id), call);
         }
     }
 
@@ -198,7 +198,7 @@
                 Waiter::Place(_) | Waiter::Upkeep { .. } | Waiter::Ended { .. } => continue,
             };
             let answer = match caller {
-                CallOrigin::Local(_) => Answer::Unknown,
+                CallOrigin::Here(_) => Answer::Unknown,
                 CallOrigin::Peer(..) => Answer::LeadLost,
             };
             self.answer(&caller, answer);
