--- a/src/model/report.rs
+++ b/src/model/report.rs
@@ -2,7 +2,7 @@
 
 use super::{Capacity, InstanceName, PoolName, RackName, ZoneName};
 
-/// The latest status report of an upstream.
+/// The latest report of an upstream.
 ///
 /// A report is also a lease: an entry instance dispatches to an upstream only
 /// while its report, received from the upstream itself or through a peer, is
